--- a/examples/fair_queue.rs
+++ b/examples/fair_queue.rs
@@ -13,7 +13,7 @@
 /// How long every task runs.
 const RUN: time::Duration = time::Duration::from_millis(100);
 
-fn push(queue: &mut Queue, now: time::Instant, customer: &str, job: &str, tasks: u32) {
+fn push(queue: &mut Queue, now: time::Instant, account: &str, job: &str, tasks: u32) {
     let waiting = |index| Waiting {
         id: task::Id {
             job: job.into(),
@@ -24,7 +24,7 @@
     };
     let deadline = now + time::Duration::from_secs(8);
     let tasks = (0..tasks).map(waiting).collect();
-    queue.push(now, &customer.into(), &job.into(), deadline, tasks);
+    queue.push(now, &account.into(), &job.into(), deadline, tasks);
 }
 
 /// Tells the client accounts that fit beside the largest one from those that don't, by what they ask for.
@@ -32,8 +32,8 @@
     let mut demand = Demand::open(now);
     demand.offer(now, &"rede-estadual".into(), 1_000.0 * RUN.as_secs_f64());
     demand.offer(now, &"canoas".into(), 10.0 * RUN.as_secs_f64());
-    for (customer, light) in demand.refresh(now + demand::REFRESH, 8) {
-        queue.classify(&customer, light);
+    for (account, light) in demand.refresh(now + demand::REFRESH, 8) {
+        queue.classify(&account, light);
     }
 }
 
@@ -47,13 +47,13 @@
     let (mut served, mut last) = (0, 0);
     while let Some(task) = queue.pop(|_| true) {
         served += 1;
-        let customer: id::Customer = match task.id.job.as_str() {
+        let account: id::ClientAccount = match task.id.job.as_str() {
             "large" => "rede-estadual".into(),
             _ => "canoas".into(),
         };
         // The queue is told what a client account uses; it never asks for weights.
-        queue.started(&customer);
-        queue.charge(now, &customer, RUN.as_secs_f64());
+        queue.started(&account);
+        queue.charge(now, &account, RUN.as_secs_f64());
         if task.id.job == job {
             last = served;
         }
--- a/examples/measure.rs
+++ b/examples/measure.rs
@@ -180,7 +180,7 @@
     http::Call::new(Method::POST, format!("http://{backend}/run"), body)
         .header(backend::JOB, format!("measure/{round}"))
         .header(backend::INDEX, "0")
-        .header(backend::CUSTOMER, "measure")
+        .header(backend::CLIENT_ACCOUNT, "measure")
         .header(backend::DEADLINE, "10000")
 }
 
--- a/examples/sick_workers.rs
+++ b/examples/sick_workers.rs
@@ -21,7 +21,7 @@
 fn black_hole() {
     let mut health = Health::default();
     let begun = time::Instant::now();
-    let customer: id::Customer = "canoas".into();
+    let account: id::ClientAccount = "canoas".into();
     let sick: id::AgentId = "agent-03".into();
     let run = time::Duration::from_millis(250);
     let mut at_sick = 0;
@@ -40,7 +40,7 @@
             } else {
                 Outcome::Done(run, run)
             };
-            health.observe(now, &agent, &customer, outcome, WORKERS);
+            health.observe(now, &agent, &account, outcome, WORKERS);
         }
     }
     println!("of 200 rounds the failing worker got {at_sick} tasks before it was barred");
@@ -51,7 +51,7 @@
     let later = begun + time::Duration::from_secs(600);
     assert_eq!(health.due(later).first(), Some(&sick));
     assert_eq!(health.limit(&sick), 1, "one task is at risk");
-    health.observe(later, &sick, &customer, Outcome::Done(run, run), WORKERS);
+    health.observe(later, &sick, &account, Outcome::Done(run, run), WORKERS);
     assert!(health.limit(&sick) > 1, "it is let back");
 }
 
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -196,7 +196,7 @@
             backend::Run {
                 addr,
                 id: start.id,
-                customer: start.customer,
+                client_account: start.client_account,
                 deadline_ms: start.deadline_ms,
                 input,
                 traceparent: traceparent.or(start.traceparent),
--- a/src/bench/decisions.rs
+++ b/src/bench/decisions.rs
@@ -44,7 +44,7 @@
     /// Slots of each.
     pub slots: u32,
     /// Client accounts.
-    pub customers: usize,
+    pub client_accounts: usize,
     /// Tasks of a job.
     pub tasks: usize,
     /// Tasks that wait all the time.
@@ -57,7 +57,7 @@
         name: "11 agents, 88 slots, 7 customers, 500 waiting",
         agents: 11,
         slots: 8,
-        customers: 7,
+        client_accounts: 7,
         tasks: 10,
         waiting: 500,
     },
@@ -65,7 +65,7 @@
         name: "50 agents, 400 slots, 48 teams, 6,000 waiting",
         agents: 50,
         slots: 8,
-        customers: 48,
+        client_accounts: 48,
         tasks: 145,
         waiting: 6_000,
     },
@@ -73,7 +73,7 @@
         name: "790 agents, 6,320 slots, 48 teams, 6,000 waiting",
         agents: 790,
         slots: 8,
-        customers: 48,
+        client_accounts: 48,
         tasks: 145,
         waiting: 6_000,
     },
@@ -81,7 +81,7 @@
         name: "790 agents, 6,320 slots, 48 teams, 100,000 waiting",
         agents: 790,
         slots: 8,
-        customers: 48,
+        client_accounts: 48,
         tasks: 145,
         waiting: 100_000,
     },
@@ -197,7 +197,7 @@
 
     fn submit(&mut self) {
         self.jobs += 1;
-        let job = submission(self.jobs, self.size.customers, self.size.tasks);
+        let job = submission(self.jobs, self.size.client_accounts, self.size.tasks);
         let waiter = self.jobs;
         self.time(|owner, now| owner.submit(now, Arc::new(job), waiter));
     }
@@ -261,8 +261,8 @@
 }
 
 /// A job under a key that tells its age, so that it starts ahead of its claim.
-pub fn submission(number: u64, customers: usize, tasks: usize) -> submission::Submission {
-    let customer = format_compact!("team-{:02}", number % customers as u64);
+pub fn submission(number: u64, accounts: usize, tasks: usize) -> submission::Submission {
+    let client_account = format_compact!("team-{:02}", number % accounts as u64);
     let task = || submission::Task {
         kind: "check".into(),
         run_ms: RUN.as_millis() as u64,
@@ -270,12 +270,12 @@
         input: raw("{\"trip\":\"2026-12-01/0417\",\"insurer\":\"sul\",\"route\":[1,2,3,4]}"),
     };
     submission::Submission {
-        key: format_compact!("{customer}/0190a5b3-7c1d-7e2f-8a3b-{number:012x}"),
+        key: format_compact!("{client_account}/0190a5b3-7c1d-7e2f-8a3b-{number:012x}"),
         digest: number,
         minted_ms: Some(WALL.as_millis() as u64),
         idempotent: true,
         job: submission::Job {
-            customer,
+            client_account,
             class: "check".into(),
             tasks: std::iter::repeat_with(task).take(tasks).collect(),
         },
--- a/src/bench/messages.rs
+++ b/src/bench/messages.rs
@@ -144,7 +144,7 @@
             index: index as u32,
         },
         attempt: 1,
-        customer: "team-07".into(),
+        client_account: "team-07".into(),
         deadline_ms: 8_000,
         needs: task::Needs::default(),
         input: RawValue::from_string(input.to_owned()).expect("the text is JSON"),
--- a/src/bench/takeover.rs
+++ b/src/bench/takeover.rs
@@ -109,7 +109,7 @@
 
 async fn ask(http: &http::Client, addr: &str) -> anyhow::Result<()> {
     let req = caller::Request {
-        customer: "canoas".into(),
+        client_account: "canoas".into(),
         class: "consent".into(),
         idempotent: true,
         kind: "request".into(),
--- a/src/class.rs
+++ b/src/class.rs
@@ -45,7 +45,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Quota {
     /// The client account.
-    pub customer: id::Customer,
+    #[serde(rename = "customer")]
+    pub client_account: id::ClientAccount,
     /// Most tasks that may wait at a time, over all classes.
     pub waiting_tasks: i64,
 }
@@ -115,8 +116,10 @@
     }
 
     /// Finds a client account's quota.
-    pub fn quota(&self, customer: &str) -> Option<&Quota> {
-        self.quotas.iter().find(|quota| quota.customer == customer)
+    pub fn quota(&self, account: &str) -> Option<&Quota> {
+        self.quotas
+            .iter()
+            .find(|quota| quota.client_account == account)
     }
 
     /// Lists everything that keeps the document from being accepted.
@@ -136,9 +139,9 @@
         for (i, class) in self.classes.iter().enumerate() {
             check_class(i, class, &mut names, &mut found);
         }
-        let mut customers = BTreeSet::new();
+        let mut accounts = BTreeSet::new();
         for (i, quota) in self.quotas.iter().enumerate() {
-            check_quota(i, quota, &mut customers, &mut found);
+            check_quota(i, quota, &mut accounts, &mut found);
         }
         found
     }
@@ -197,15 +200,15 @@
 fn check_quota<'a>(
     i: usize,
     quota: &'a Quota,
-    customers: &mut BTreeSet<&'a str>,
+    accounts: &mut BTreeSet<&'a str>,
     found: &mut Vec<Mistake>,
 ) {
-    if !is_name(&quota.customer) {
+    if !is_name(&quota.client_account) {
         let mend = "use 1 to 64 letters, digits, '-', '_' or '.'";
         found.push(Mistake::new(format!("quota[{i}].customer"), mend));
     }
-    if !customers.insert(&quota.customer) {
-        let mend = format!("'{}' has two quotas; keep one", quota.customer);
+    if !accounts.insert(&quota.client_account) {
+        let mend = format!("'{}' has two quotas; keep one", quota.client_account);
         found.push(Mistake::new(format!("quota[{i}].customer"), mend));
     }
     if quota.waiting_tasks <= 0 {
--- a/src/cli/command/status.rs
+++ b/src/cli/command/status.rs
@@ -101,7 +101,7 @@
         );
     }
     let _ = writeln!(out, "\n  {:<20} {:>13}", "customer", "waiting tasks");
-    for (customer, tasks) in &owned.customers {
-        let _ = writeln!(out, "  {customer:<20} {tasks:>13}");
+    for (account, tasks) in &owned.client_accounts {
+        let _ = writeln!(out, "  {account:<20} {tasks:>13}");
     }
 }
--- a/src/cli/command/submit.rs
+++ b/src/cli/command/submit.rs
@@ -39,8 +39,8 @@
     pub entry: EntryOpts,
 
     /// Whose job
-    #[arg(long)]
-    pub customer: String,
+    #[arg(id = "customer", long = "customer", value_name = "CUSTOMER")]
+    pub client_account: String,
 
     /// The submission key
     pub key: String,
@@ -78,10 +78,10 @@
 pub async fn cancel(opts: &CancelOpts) -> anyhow::Result<ExitCode> {
     let client = opts.entry.client()?;
     let mut mistakes = Mistakes::default();
-    mistakes.name("--customer", &opts.customer);
+    mistakes.name("--customer", &opts.client_account);
     mistakes.expect(filter::key::is_key(&opts.key), "KEY", KEY);
     mistakes.finish()?;
-    let path = format!("/v1/jobs/{}?customer={}", opts.key, opts.customer);
+    let path = format!("/v1/jobs/{}?customer={}", opts.key, opts.client_account);
     let text = client.call(Method::DELETE, &path, None, Vec::new()).await?;
     println!("{}", text.trim());
     Ok(ExitCode::Success)
--- a/src/cli/command/work.rs
+++ b/src/cli/command/work.rs
@@ -20,7 +20,7 @@
 /// Longest run, in seconds.
 const MAX_SECONDS: u64 = 3_600;
 
-/// The largest customer's part of `--load`.
+/// The largest client account's part of `--load`.
 const DOMINANT_PART: f64 = 0.6;
 
 /// Whose sizes, latencies and workload.
--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -37,7 +37,7 @@
 pub struct Demand {
     opened: time::Instant,
     refreshed: time::Instant,
-    customers: HashMap<id::Customer, Offered>,
+    client_accounts: HashMap<id::ClientAccount, Offered>,
     /// Mean slot time of a job, in seconds.
     job: f64,
     light: usize,
@@ -67,7 +67,7 @@
         Demand {
             opened: now,
             refreshed: now,
-            customers: HashMap::new(),
+            client_accounts: HashMap::new(),
             job: 0.0,
             light: 0,
             light_rate: 0.0,
@@ -75,10 +75,10 @@
     }
 
     /// Notes work that a client account asks for, in seconds of slot time; refused work counts as well.
-    pub fn offer(&mut self, now: time::Instant, customer: &id::Customer, seconds: f64) {
+    pub fn offer(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
         let offered = self
-            .customers
-            .entry(customer.clone())
+            .client_accounts
+            .entry(account.clone())
             .or_insert_with(|| Offered {
                 work: 0.0,
                 at: now,
@@ -90,16 +90,16 @@
     }
 
     /// Tells whether a client account goes before the heavy ones; true for one never seen.
-    pub fn is_light(&self, customer: &id::Customer) -> bool {
-        self.customers
-            .get(customer)
+    pub fn is_light(&self, account: &id::ClientAccount) -> bool {
+        self.client_accounts
+            .get(account)
             .is_none_or(|offered| offered.share.is_none())
     }
 
     /// Slots that a heavy client account may count on; none for a light one.
-    pub fn share(&self, customer: &id::Customer) -> Option<f64> {
-        self.customers
-            .get(customer)
+    pub fn share(&self, account: &id::ClientAccount) -> Option<f64> {
+        self.client_accounts
+            .get(account)
             .and_then(|offered| offered.share)
     }
 
@@ -115,8 +115,8 @@
 
     /// Corrects what was noted of a task by what it used, so that nobody becomes light, or makes
     /// others heavy, by what it declares.
-    pub fn correct(&mut self, now: time::Instant, customer: &id::Customer, seconds: f64) {
-        if let Some(offered) = self.customers.get_mut(customer) {
+    pub fn correct(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
+        if let Some(offered) = self.client_accounts.get_mut(account) {
             offered.fade(now);
             offered.work = (offered.work + seconds).max(0.0);
         }
@@ -124,7 +124,7 @@
 
     /// Sorts the client accounts anew where that is due. Returns those that changed, and whether each is
     /// light now.
-    pub fn refresh(&mut self, now: time::Instant, slots: u32) -> Vec<(id::Customer, bool)> {
+    pub fn refresh(&mut self, now: time::Instant, slots: u32) -> Vec<(id::ClientAccount, bool)> {
         if now.saturating_duration_since(self.refreshed) < REFRESH {
             return Vec::new();
         }
@@ -137,14 +137,17 @@
         self.light_rate = rates[..light].iter().map(|(_, rate)| rate).sum();
         let mut left = (capacity - self.light_rate - self.scatter()).max(1.0);
         let mut changed = Vec::new();
-        for (i, (customer, rate)) in rates.iter().enumerate() {
+        for (i, (account, rate)) in rates.iter().enumerate() {
             let sharers = (rates.len() - i) as f64;
             // Whoever comes next may count on an equal part of what those before it leave.
             let share = (i >= light).then(|| (left / sharers).max(1.0));
             left -= share.map_or(0.0, |share| share.min(*rate));
-            let offered = self.customers.get_mut(customer).expect("it was listed");
+            let offered = self
+                .client_accounts
+                .get_mut(account)
+                .expect("it was listed");
             if offered.share.is_some() != share.is_some() {
-                changed.push((customer.clone(), share.is_none()));
+                changed.push((account.clone(), share.is_none()));
             }
             offered.share = share;
         }
@@ -158,17 +161,17 @@
     }
 
     /// Slots that each client account asks for, without those that ask for next to nothing.
-    fn rates(&mut self, now: time::Instant) -> Vec<(id::Customer, f64)> {
+    fn rates(&mut self, now: time::Instant) -> Vec<(id::ClientAccount, f64)> {
         let window = WINDOW.as_secs_f64();
         let age = now.saturating_duration_since(self.opened).as_secs_f64();
         let span = (window * (1.0 - (-age / window).exp())).max(MIN_SPAN);
-        self.customers.retain(|_, offered| {
+        self.client_accounts.retain(|_, offered| {
             offered.fade(now);
             offered.share.is_some() || offered.work > NEGLIGIBLE * span
         });
-        self.customers
+        self.client_accounts
             .iter()
-            .map(|(customer, offered)| (customer.clone(), offered.work / span))
+            .map(|(account, offered)| (account.clone(), offered.work / span))
             .collect()
     }
 }
@@ -177,7 +180,7 @@
 ///
 /// One is light if an equal share of what lighter ones leave would do for it, or if all up to it
 /// fit together and whoever comes next offers far more.
-fn light_ones(rates: &[(id::Customer, f64)], capacity: f64) -> usize {
+fn light_ones(rates: &[(id::ClientAccount, f64)], capacity: f64) -> usize {
     let mut light = 0;
     let mut below = 0.0;
     for (i, (_, rate)) in rates.iter().enumerate() {
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -30,7 +30,7 @@
 /// The run times of one cell.
 #[derive(Clone, Debug, Default)]
 pub struct Estimates {
-    customers: HashMap<id::Customer, HashMap<CompactString, Learned>>,
+    client_accounts: HashMap<id::ClientAccount, HashMap<CompactString, Learned>>,
     pairs: usize,
 }
 
@@ -93,13 +93,13 @@
     /// Guesses how long a task runs.
     pub fn guess(
         &self,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         kind: &CompactString,
         declared_ms: u64,
     ) -> time::Duration {
         let learned = self
-            .customers
-            .get(customer)
+            .client_accounts
+            .get(account)
             .and_then(|kinds| kinds.get(kind));
         let seconds = match learned {
             Some(learned) => learned.guess(declared_ms),
@@ -112,13 +112,13 @@
     /// Learns from a task that ended well; one that failed or was stopped tells nothing.
     pub fn observe(
         &mut self,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         kind: &CompactString,
         declared_ms: u64,
         ran: time::Duration,
     ) {
         let seconds = ran.as_secs_f64();
-        let kinds = self.customers.get_mut(customer);
+        let kinds = self.client_accounts.get_mut(account);
         if let Some(learned) = kinds.and_then(|kinds| kinds.get_mut(kind)) {
             learned.observe(seconds, declared_ms);
             return;
@@ -127,7 +127,7 @@
             return;
         }
         self.pairs += 1;
-        let kinds = self.customers.entry(customer.clone()).or_default();
+        let kinds = self.client_accounts.entry(account.clone()).or_default();
         let learned = kinds.entry(kind.clone()).or_default();
         learned.observe(seconds, declared_ms);
     }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -59,7 +59,7 @@
 const MAX_BARRED: f64 = 0.5;
 
 /// Most client accounts whose failures are told apart from the workers'.
-const MAX_CUSTOMERS: usize = 10_000;
+const MAX_ACCOUNTS: usize = 10_000;
 
 /// How a task ended at a worker, as far as it tells of the worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -130,7 +130,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     records: HashMap<id::AgentId, Record>,
-    customers: HashMap<id::Customer, Share>,
+    client_accounts: HashMap<id::ClientAccount, Share>,
     peers: Share,
     peers_pace: f64,
     peers_variance: f64,
@@ -156,7 +156,7 @@
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         outcome: Outcome,
         workers: usize,
     ) -> u32 {
@@ -164,10 +164,10 @@
             self.records.insert(agent.clone(), Record::open());
         }
         match outcome {
-            Outcome::Done(ran, estimate) => self.done(now, agent, customer, ran, estimate, workers),
+            Outcome::Done(ran, estimate) => self.done(now, agent, account, ran, estimate, workers),
             Outcome::Stopped(ran, estimate) if !self.is_overdue(ran, estimate) => {}
             Outcome::Failed | Outcome::Stopped(..) => {
-                if !self.is_customers_fault(agent, customer) {
+                if !self.is_accounts_fault(agent, account) {
                     self.failed(now, agent, workers);
                 }
             }
@@ -202,13 +202,13 @@
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         ran: time::Duration,
         estimate: time::Duration,
         workers: usize,
     ) {
         self.peers.count(false, 0.999);
-        if let Some(share) = self.customers.get_mut(customer) {
+        if let Some(share) = self.client_accounts.get_mut(account) {
             share.count(false, KEEP);
         }
         let pace = pace(ran, estimate);
@@ -290,12 +290,12 @@
 
     /// Tells whether a failure is more likely the client account's own: its tasks fail on workers that
     /// are well for others. Without this one client account's broken input would bar all workers.
-    fn is_customers_fault(&mut self, agent: &id::AgentId, customer: &id::Customer) -> bool {
+    fn is_accounts_fault(&mut self, agent: &id::AgentId, account: &id::ClientAccount) -> bool {
         let suspect = self.records[agent].limit < WELL;
-        if self.customers.len() >= MAX_CUSTOMERS {
-            self.customers.clear();
+        if self.client_accounts.len() >= MAX_ACCOUNTS {
+            self.client_accounts.clear();
         }
-        let share = self.customers.entry(customer.clone()).or_default();
+        let share = self.client_accounts.entry(account.clone()).or_default();
         let fault = share.bad >= 3.0 && share.failing() > 0.5;
         if !suspect {
             share.count(true, KEEP);
--- a/src/decide/job.rs
+++ b/src/decide/job.rs
@@ -111,7 +111,7 @@
             minted_ms: whole.minted_ms,
             idempotent: whole.idempotent,
             job: submission::Job {
-                customer: whole.job.customer.clone(),
+                client_account: whole.job.client_account.clone(),
                 class: whole.job.class.clone(),
                 tasks: Vec::new(),
             },
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -53,7 +53,8 @@
     /// Counts the starts of the job's tasks in this epoch.
     pub attempt: u32,
     /// Its client account.
-    pub customer: id::Customer,
+    #[serde(rename = "customer")]
+    pub client_account: id::ClientAccount,
     /// Milliseconds until its answer is worthless.
     pub deadline_ms: u64,
     /// What it takes of the worker.
--- a/src/decide/owner/admission.rs
+++ b/src/decide/owner/admission.rs
@@ -34,9 +34,9 @@
         waiter: action::Waiter,
     ) {
         let work = self.work_of(&submission.job);
-        let customer = &submission.job.customer;
-        self.demand.offer(now, customer, work.seconds);
-        self.sort_customers(now);
+        let account = &submission.job.client_account;
+        self.demand.offer(now, account, work.seconds);
+        self.sort_accounts(now);
         let target = match self.check(now, &submission, &work) {
             Ok(target) => target,
             Err(refusal) => {
@@ -88,21 +88,21 @@
         if !tasks.all(|task| self.fleet.could_ever_run(now, &task.needs)) {
             return Err(refusal::Refusal::new(code::Code::NeverRunnable));
         }
-        if let Some(quota) = self.config.document.quota(&job.customer) {
-            let waiting = self.queue.waiting(&job.customer) + job.tasks.len();
+        if let Some(quota) = self.config.document.quota(&job.client_account) {
+            let waiting = self.queue.waiting(&job.client_account) + job.tasks.len();
             if waiting as i64 > quota.waiting_tasks {
-                let wait = self.wait_of(&job.customer);
+                let wait = self.wait_of(&job.client_account);
                 return Err(refusal::Refusal::new(code::Code::OverQuota).retry_after(wait));
             }
         }
         if self.queue.len() + job.tasks.len() > MAX_WAITING {
-            let wait = self.wait_of(&job.customer);
+            let wait = self.wait_of(&job.client_account);
             return Err(refusal::Refusal::new(code::Code::Overloaded).retry_after(wait));
         }
         if self.finds_room(job) {
             return Ok(class.target());
         }
-        let late = self.lateness(now, &job.customer, class.target(), work);
+        let late = self.lateness(now, &job.client_account, class.target(), work);
         if !late.is_zero() {
             return Err(refusal::Refusal::new(code::Code::Overloaded).retry_after(late));
         }
@@ -111,7 +111,7 @@
 
     /// Tells whether all of a job can start at once, so that no forecast of a wait is needed.
     fn finds_room(&self, job: &submission::Job) -> bool {
-        let waiting = self.queue.waiting(&job.customer);
+        let waiting = self.queue.waiting(&job.client_account);
         waiting == 0 && self.fleet.free_slots() as usize >= job.tasks.len()
     }
 
@@ -120,7 +120,7 @@
     fn lateness(
         &self,
         now: time::Instant,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         target: time::Duration,
         work: &Work,
     ) -> time::Duration {
@@ -130,30 +130,30 @@
         }
         // An estimate alone, however wrong, never refuses a job that finds the system idle.
         let longest = work.longest.min(target.mul_f64(backlog::HEADROOM / 2.0));
-        let share = self.demand.share(customer);
+        let share = self.demand.share(account);
         if let (Some(rate), false) = (share, self.policy.queue == queue::Policy::Fifo) {
             let deadline = now + target;
             return self
                 .queue
-                .lateness(now, customer, deadline, longest, work.seconds, rate);
+                .lateness(now, account, deadline, longest, work.seconds, rate);
         }
-        let wait = self.wait_of(customer).as_secs_f64() + longest.as_secs_f64();
+        let wait = self.wait_of(account).as_secs_f64() + longest.as_secs_f64();
         let late = wait - backlog::HEADROOM * target.as_secs_f64();
         time::Duration::from_secs_f64(late.max(0.0))
     }
 
     /// How long a client account's new task would wait for a slot.
-    pub(super) fn wait_of(&self, customer: &id::Customer) -> time::Duration {
+    pub(super) fn wait_of(&self, account: &id::ClientAccount) -> time::Duration {
         let slots = f64::from(self.fleet.slots());
         if slots == 0.0 {
             return time::Duration::ZERO;
         }
-        let seconds = match (self.policy.queue, self.demand.share(customer)) {
+        let seconds = match (self.policy.queue, self.demand.share(account)) {
             (queue::Policy::Fifo, _) => self.queue.seconds() / slots,
-            (_, Some(rate)) => self.queue.backlog(customer) / rate,
+            (_, Some(rate)) => self.queue.backlog(account) / rate,
             // Whatever others say of their tasks, a client account's own backlog bounds its wait.
             (_, None) => {
-                let own = self.queue.backlog(customer) * (self.demand.light() + 1) as f64;
+                let own = self.queue.backlog(account) * (self.demand.light() + 1) as f64;
                 self.queue.light_seconds().min(own) / slots
             }
         };
@@ -167,7 +167,9 @@
             longest: time::Duration::ZERO,
         };
         for task in &job.tasks {
-            let run = self.estimates.guess(&job.customer, &task.kind, task.run_ms);
+            let run = self
+                .estimates
+                .guess(&job.client_account, &task.kind, task.run_ms);
             work.seconds += run.as_secs_f64();
             work.longest = work.longest.max(run);
         }
@@ -175,9 +177,9 @@
     }
 
     /// Tells light client accounts from heavy ones anew, where that is due.
-    pub(super) fn sort_customers(&mut self, now: time::Instant) {
-        for (customer, light) in self.demand.refresh(now, self.fleet.slots()) {
-            self.queue.classify(&customer, light);
+    pub(super) fn sort_accounts(&mut self, now: time::Instant) {
+        for (account, light) in self.demand.refresh(now, self.fleet.slots()) {
+            self.queue.classify(&account, light);
         }
     }
 
--- a/src/decide/owner/endings.rs
+++ b/src/decide/owner/endings.rs
@@ -78,7 +78,7 @@
         }
         let mut refusal = job.refusal(reason);
         if refusal.code == code::Code::Expired {
-            refusal = refusal.retry_after(self.wait_of(&job.submission.job.customer));
+            refusal = refusal.retry_after(self.wait_of(&job.submission.job.client_account));
         }
         if refusal.code == code::Code::StoreDown {
             refusal = refusal.retry_after(owner::STORE_RETRY);
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -294,7 +294,7 @@
             self.fail(now, &key, code::Code::TaskTimeout);
         }
         self.tend_agents(now);
-        self.sort_customers(now);
+        self.sort_accounts(now);
         self.acknowledge(now);
         self.forget(now);
         self.dispatch(now);
--- a/src/decide/owner/tasks.rs
+++ b/src/decide/owner/tasks.rs
@@ -52,11 +52,11 @@
                 waiting.push(self.waiting(job, index as id::TaskIndex));
             }
         }
-        let customer = job.submission.job.customer.clone();
+        let account = job.submission.job.client_account.clone();
         for task in &waiting {
             self.fleet.list(&task.needs);
         }
-        self.queue.push(now, &customer, key, job.deadline, waiting);
+        self.queue.push(now, &account, key, job.deadline, waiting);
     }
 
     /// Tells whether a job of which nothing was started can't end within its target any more, even
@@ -69,7 +69,7 @@
 
     pub(super) fn waiting(&self, job: &job::Job, index: id::TaskIndex) -> waiting::Waiting {
         let declared = &job.submission.job.tasks[index as usize];
-        let customer = &job.submission.job.customer;
+        let account = &job.submission.job.client_account;
         waiting::Waiting {
             id: task::Id {
                 job: job.submission.key.clone(),
@@ -77,7 +77,7 @@
             },
             estimate: self
                 .estimates
-                .guess(customer, &declared.kind, declared.run_ms),
+                .guess(account, &declared.kind, declared.run_ms),
             needs: declared.needs,
         }
     }
@@ -103,12 +103,12 @@
         };
         job.agents.insert(agent.clone());
         job.attempts += 1;
-        let customer = job.submission.job.customer.clone();
+        let account = job.submission.job.client_account.clone();
         let left = job.deadline.saturating_duration_since(now);
         let start = order::Start {
             id: id.clone(),
             attempt: job.attempts,
-            customer: customer.clone(),
+            client_account: account.clone(),
             deadline_ms: left.as_millis().max(1) as u64,
             needs: waiting.needs,
             input: declared.input.clone(),
@@ -122,9 +122,9 @@
             .insert(id.clone());
         self.fleet.book(agent, &waiting.needs);
         self.retries.earn();
-        self.queue.started(&customer);
+        self.queue.started(&account);
         self.queue
-            .charge(now, &customer, waiting.estimate.as_secs_f64());
+            .charge(now, &account, waiting.estimate.as_secs_f64());
     }
 
     /// Takes an agent's answer; one that isn't awaited from that agent reaches nobody.
@@ -233,9 +233,9 @@
         }
         let job = &self.jobs[&id.job];
         let waiting = self.waiting(job, id.index);
-        let customer = job.submission.job.customer.clone();
+        let account = job.submission.job.client_account.clone();
         self.queue
-            .push(now, &customer, &id.job, job.deadline, vec![waiting]);
+            .push(now, &account, &id.job, job.deadline, vec![waiting]);
     }
 
     /// Ends the booking of a task on an agent. Returns its index if it was booked there.
@@ -252,13 +252,13 @@
         let job = self.jobs.get(&id.job)?;
         let index = id.index as usize;
         let declared = &job.submission.job.tasks[index];
-        let customer = &job.submission.job.customer;
+        let account = &job.submission.job.client_account;
         let ran = time::Duration::from_micros(ran_us.unwrap_or(0));
         if let Progress::Sent { estimate, .. } = &job.tasks[index] {
             self.fleet.release(agent, &declared.needs);
             let correction = ran.as_secs_f64() - estimate.as_secs_f64();
-            self.queue.charge(now, customer, correction);
-            self.demand.correct(now, customer, correction);
+            self.queue.charge(now, account, correction);
+            self.demand.correct(now, account, correction);
         }
         if let Some(timing) = task_timing(job, now, agent, id, ran_us.is_some()) {
             self.actions.push(Action::Record(timing));
@@ -289,7 +289,7 @@
                 let job = &job.submission.job;
                 let declared = &job.tasks[index];
                 self.estimates
-                    .observe(&job.customer, &declared.kind, declared.run_ms, ran);
+                    .observe(&job.client_account, &declared.kind, declared.run_ms, ran);
                 health::Outcome::Done(ran, *estimate)
             }
             task::Outcome::Failed(code::Code::TaskFailed | code::Code::AnswerTruncated) => {
@@ -313,9 +313,9 @@
         let Some(job) = self.jobs.get(job) else {
             return;
         };
-        let customer = &job.submission.job.customer;
+        let account = &job.submission.job.client_account;
         let workers = self.fleet.agents().len();
-        let limit = self.health.observe(now, agent, customer, outcome, workers);
+        let limit = self.health.observe(now, agent, account, outcome, workers);
         self.fleet.limit(agent, limit);
     }
 }
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -40,7 +40,7 @@
 /// A waiting job: whose it is, how many tasks of it wait, and in which shapes.
 #[derive(Clone, Debug)]
 struct Job {
-    customer: id::Customer,
+    client_account: id::ClientAccount,
     tasks: usize,
     shapes: Vec<task::Needs>,
 }
@@ -52,9 +52,9 @@
     opened: time::Instant,
     shapes: BTreeMap<task::Needs, shape::Shape>,
     jobs: HashMap<id::JobKey, Job>,
-    heavy: HashSet<id::Customer>,
+    heavy: HashSet<id::ClientAccount>,
     usage: usage::Usage,
-    backlogs: HashMap<id::Customer, backlog::Backlog>,
+    backlogs: HashMap<id::ClientAccount, backlog::Backlog>,
     tasks: usize,
     seconds: f64,
     light_seconds: f64,
@@ -84,7 +84,7 @@
     pub fn push(
         &mut self,
         now: time::Instant,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         job: &id::JobKey,
         deadline: time::Instant,
         tasks: Vec<Waiting>,
@@ -92,10 +92,10 @@
         let Some(first) = tasks.first() else {
             return;
         };
-        self.note(customer, deadline, &tasks);
+        self.note(account, deadline, &tasks);
         let needs = first.needs;
         if tasks.iter().all(|task| task.needs == needs) {
-            self.push_shape(now, customer, job, deadline, needs, tasks);
+            self.push_shape(now, account, job, deadline, needs, tasks);
             return;
         }
         let mut by_needs: HashMap<task::Needs, Vec<Waiting>> = HashMap::new();
@@ -103,21 +103,21 @@
             by_needs.entry(task.needs).or_default().push(task);
         }
         for (needs, tasks) in by_needs {
-            self.push_shape(now, customer, job, deadline, needs, tasks);
+            self.push_shape(now, account, job, deadline, needs, tasks);
         }
     }
 
     fn push_shape(
         &mut self,
         now: time::Instant,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         key: &id::JobKey,
         deadline: time::Instant,
         needs: task::Needs,
         tasks: Vec<Waiting>,
     ) {
         let job = self.jobs.entry(key.clone()).or_insert_with(|| Job {
-            customer: customer.clone(),
+            client_account: account.clone(),
             tasks: 0,
             shapes: Vec::new(),
         });
@@ -125,7 +125,7 @@
         if !job.shapes.contains(&needs) {
             job.shapes.push(needs);
         }
-        let name = self.line_of(customer);
+        let name = self.line_of(account);
         let rule = self.rule(&name);
         let shape = self.shapes.entry(needs).or_default();
         let (_, line) = shape
@@ -151,11 +151,11 @@
         self.settle(&needs, &name);
         let job = self.jobs.get_mut(&task.id.job)?;
         job.tasks -= 1;
-        let customer = job.customer.clone();
+        let account = job.client_account.clone();
         if job.tasks == 0 {
             self.jobs.remove(&task.id.job);
         }
-        self.strike(&customer, deadline, 1, task.estimate.as_secs_f64());
+        self.strike(&account, deadline, 1, task.estimate.as_secs_f64());
         Some(task)
     }
 
@@ -164,7 +164,7 @@
         let Some(job) = self.jobs.remove(key) else {
             return Vec::new();
         };
-        let name = self.line_of(&job.customer);
+        let name = self.line_of(&job.client_account);
         let mut all = Vec::new();
         for needs in job.shapes {
             let shape = self.shapes.get_mut(&needs);
@@ -174,14 +174,14 @@
             };
             self.settle(&needs, &name);
             let seconds = tasks.iter().map(|task| task.estimate.as_secs_f64()).sum();
-            self.strike(&job.customer, deadline, tasks.len(), seconds);
+            self.strike(&job.client_account, deadline, tasks.len(), seconds);
             all.extend(tasks);
         }
         all
     }
 
     /// Books slot time, in seconds, on a client account; a negative amount corrects an earlier one.
-    pub fn charge(&mut self, now: time::Instant, customer: &id::Customer, seconds: f64) {
+    pub fn charge(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
         let amount = match self.policy {
             Policy::Fair | Policy::LeastUsed => seconds * self.scale(now),
             Policy::Fifo => return,
@@ -189,16 +189,16 @@
             Policy::RoundRobin if seconds > 0.0 => 1.0,
             Policy::RoundRobin => return,
         };
-        self.usage.add(customer, amount);
+        self.usage.add(account, amount);
         let shapes: Vec<task::Needs> = self.shapes.keys().copied().collect();
         for needs in shapes {
-            self.settle(&needs, customer);
+            self.settle(&needs, account);
         }
     }
 
     /// Notes that a client account's task was started.
-    pub fn started(&mut self, customer: &id::Customer) {
-        if self.heavy.contains(customer) {
+    pub fn started(&mut self, account: &id::ClientAccount) {
+        if self.heavy.contains(account) {
             self.light_run = 0;
         } else {
             self.light_run += 1;
@@ -206,24 +206,24 @@
     }
 
     /// Notes whether a client account is light from now on.
-    pub fn classify(&mut self, customer: &id::Customer, light: bool) {
+    pub fn classify(&mut self, account: &id::ClientAccount, light: bool) {
         if self.policy != Policy::Fair {
             return;
         }
-        let seconds = self.backlog(customer);
-        if light && self.heavy.remove(customer) {
+        let seconds = self.backlog(account);
+        if light && self.heavy.remove(account) {
             self.light_seconds += seconds;
-        } else if !light && self.heavy.insert(customer.clone()) {
+        } else if !light && self.heavy.insert(account.clone()) {
             self.light_seconds = (self.light_seconds - seconds).max(0.0);
         }
-        let rule = self.rule(customer);
+        let rule = self.rule(account);
         let shapes: Vec<task::Needs> = self.shapes.keys().copied().collect();
         for needs in shapes {
             let shape = self.shapes.get_mut(&needs);
-            if let Some((_, line)) = shape.and_then(|shape| shape.lines.get_mut(customer)) {
+            if let Some((_, line)) = shape.and_then(|shape| shape.lines.get_mut(account)) {
                 line.order_by(rule);
             }
-            self.settle(&needs, customer);
+            self.settle(&needs, account);
         }
     }
 
@@ -238,16 +238,16 @@
     }
 
     /// Waiting tasks of a client account.
-    pub fn waiting(&self, customer: &id::Customer) -> usize {
+    pub fn waiting(&self, account: &id::ClientAccount) -> usize {
         self.backlogs
-            .get(customer)
+            .get(account)
             .map_or(0, backlog::Backlog::tasks)
     }
 
     /// Slot time that a client account's waiting tasks are thought to take, in seconds.
-    pub fn backlog(&self, customer: &id::Customer) -> f64 {
+    pub fn backlog(&self, account: &id::ClientAccount) -> f64 {
         self.backlogs
-            .get(customer)
+            .get(account)
             .map_or(0.0, backlog::Backlog::seconds)
     }
 
@@ -262,24 +262,24 @@
     }
 
     /// Client accounts and their waiting tasks.
-    pub fn customers(&self) -> impl Iterator<Item = (&id::Customer, usize)> {
+    pub fn client_accounts(&self) -> impl Iterator<Item = (&id::ClientAccount, usize)> {
         self.backlogs
             .iter()
-            .map(|(customer, backlog)| (customer, backlog.tasks()))
+            .map(|(account, backlog)| (account, backlog.tasks()))
     }
 
     /// How much too late something of a client account would be, were a job of it added.
     pub fn lateness(
         &self,
         now: time::Instant,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         deadline: time::Instant,
         longest: time::Duration,
         seconds: f64,
         rate: f64,
     ) -> time::Duration {
         let empty = backlog::Backlog::default();
-        let backlog = self.backlogs.get(customer).unwrap_or(&empty);
+        let backlog = self.backlogs.get(account).unwrap_or(&empty);
         let (now, deadline) = (self.since_opened(now), self.since_opened(deadline));
         backlog.lateness(now, deadline, longest, seconds, rate)
     }
@@ -289,14 +289,14 @@
     }
 
     /// Books waiting tasks on their client account.
-    fn note(&mut self, customer: &id::Customer, deadline: time::Instant, tasks: &[Waiting]) {
+    fn note(&mut self, account: &id::ClientAccount, deadline: time::Instant, tasks: &[Waiting]) {
         let seconds: f64 = tasks.iter().map(|task| task.estimate.as_secs_f64()).sum();
         let deadline = self.since_opened(deadline);
-        let backlog = self.backlogs.entry(customer.clone()).or_default();
+        let backlog = self.backlogs.entry(account.clone()).or_default();
         backlog.add(deadline, tasks.len(), seconds);
         self.tasks += tasks.len();
         self.seconds += seconds;
-        if !self.heavy.contains(customer) {
+        if !self.heavy.contains(account) {
             self.light_seconds += seconds;
         }
     }
@@ -304,18 +304,18 @@
     /// Strikes waiting tasks off their client account.
     fn strike(
         &mut self,
-        customer: &id::Customer,
+        account: &id::ClientAccount,
         deadline: time::Instant,
         tasks: usize,
         seconds: f64,
     ) {
         let deadline = self.since_opened(deadline);
-        if let Some(backlog) = self.backlogs.get_mut(customer) {
+        if let Some(backlog) = self.backlogs.get_mut(account) {
             backlog.sub(deadline, tasks, seconds);
         }
         self.tasks -= tasks;
         self.seconds = (self.seconds - seconds).max(0.0);
-        if !self.heavy.contains(customer) {
+        if !self.heavy.contains(account) {
             self.light_seconds = (self.light_seconds - seconds).max(0.0);
         }
         if self.tasks == 0 {
@@ -325,7 +325,7 @@
     }
 
     /// Lists a line where it stands now, or drops it once it is empty.
-    fn settle(&mut self, needs: &task::Needs, name: &id::Customer) {
+    fn settle(&mut self, needs: &task::Needs, name: &id::ClientAccount) {
         let rank_of = |line: &line::Line| match (self.policy, line.head()) {
             (Policy::Fair, Some(due)) if !self.heavy.contains(name) => Rank::Light(due),
             _ => Rank::Heavy(self.usage.of(name).to_bits()),
@@ -351,7 +351,7 @@
         }
     }
 
-    fn rule(&self, name: &id::Customer) -> line::Rule {
+    fn rule(&self, name: &id::ClientAccount) -> line::Rule {
         match self.policy {
             Policy::Fair if !self.heavy.contains(name) => line::Rule::Slack,
             Policy::Fair | Policy::LeastUsed => line::Rule::Deadline,
@@ -360,10 +360,10 @@
     }
 
     /// Under FIFO all client accounts stand in one line.
-    fn line_of(&self, customer: &id::Customer) -> id::Customer {
+    fn line_of(&self, account: &id::ClientAccount) -> id::ClientAccount {
         match self.policy {
-            Policy::Fifo => id::Customer::default(),
-            _ => customer.clone(),
+            Policy::Fifo => id::ClientAccount::default(),
+            _ => account.clone(),
         }
     }
 
@@ -374,7 +374,7 @@
             let shapes = self.shapes.iter();
             let listed = shapes
                 .flat_map(|(needs, shape)| shape.lines.keys().map(|name| (*needs, name.clone())));
-            let listed: Vec<(task::Needs, id::Customer)> = listed.collect();
+            let listed: Vec<(task::Needs, id::ClientAccount)> = listed.collect();
             for (needs, name) in listed {
                 self.settle(&needs, &name);
             }
--- a/src/decide/shape.rs
+++ b/src/decide/shape.rs
@@ -27,15 +27,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Shape {
     /// Each with the rank under which it is listed.
-    pub lines: HashMap<id::Customer, (Option<Rank>, line::Line)>,
+    pub lines: HashMap<id::ClientAccount, (Option<Rank>, line::Line)>,
     /// The lines that aren't empty, by rank.
-    pub order: BTreeSet<(Rank, id::Customer)>,
+    pub order: BTreeSet<(Rank, id::ClientAccount)>,
 }
 
 impl Shape {
     /// The line that goes first; a heavy one where the light ones yield.
-    pub fn head(&self, yields: bool) -> Option<(Rank, &id::Customer)> {
-        let heavy = (Rank::Heavy(0), id::Customer::default());
+    pub fn head(&self, yields: bool) -> Option<(Rank, &id::ClientAccount)> {
+        let heavy = (Rank::Heavy(0), id::ClientAccount::default());
         let first_heavy = || self.order.range(heavy..).next();
         let first = yields.then(first_heavy).flatten();
         let (rank, name) = first.or_else(|| self.order.first())?;
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -17,7 +17,7 @@
 /// The books.
 #[derive(Clone, Debug)]
 pub struct Usage {
-    used: HashMap<id::Customer, f64>,
+    used: HashMap<id::ClientAccount, f64>,
     /// When a second of slot time weighed 1.
     base: time::Instant,
 }
@@ -32,13 +32,13 @@
     }
 
     /// What a client account has used, on the scale of all.
-    pub fn of(&self, customer: &id::Customer) -> f64 {
-        self.used.get(customer).copied().unwrap_or(0.0)
+    pub fn of(&self, account: &id::ClientAccount) -> f64 {
+        self.used.get(account).copied().unwrap_or(0.0)
     }
 
     /// Books an amount; a negative one corrects an earlier one.
-    pub fn add(&mut self, customer: &id::Customer, amount: f64) {
-        let used = self.used.entry(customer.clone()).or_default();
+    pub fn add(&mut self, account: &id::ClientAccount, amount: f64) {
+        let used = self.used.entry(account.clone()).or_default();
         *used = (*used + amount).max(0.0);
     }
 
--- a/src/demo/caller.rs
+++ b/src/demo/caller.rs
@@ -105,7 +105,7 @@
         let (ended, tries) = self.run(&arrival, &key).await;
         let took = begun.elapsed();
         let ideal = self.ideal(&arrival);
-        let job = key::scoped(&arrival.customer, &key);
+        let job = key::scoped(&arrival.client_account, &key);
         let flight = tally::Flight {
             begun,
             took,
@@ -131,7 +131,7 @@
                     return (Ended::Complete, tries);
                 }
                 Tried::Refused(refusal) => {
-                    self.check_refusal(&arrival.customer, key, &refusal);
+                    self.check_refusal(&arrival.client_account, key, &refusal);
                     return (Ended::Refused(refusal), tries);
                 }
                 Tried::Lost => {
@@ -144,18 +144,18 @@
     }
 
     /// Withdraws a job through any entry, and checks what is said of it.
-    pub async fn cancel(&self, customer: &str, key: &str) {
+    pub async fn cancel(&self, account: &str, key: &str) {
         let entry = self.target.entries.draw(None);
-        let uri = format!("http://{entry}/v1/jobs/{key}?customer={customer}");
+        let uri = format!("http://{entry}/v1/jobs/{key}?customer={account}");
         if let Some(truth) = &self.target.truth {
-            truth.cancelled(&key::scoped(customer, key));
+            truth.cancelled(&key::scoped(account, key));
         }
         let call = http::Call::new(Method::DELETE, uri, Vec::new());
         let Ok(answer) = self.http.call(call, PATIENCE).await else {
             return;
         };
         if let Ok(refusal) = serde_json::from_slice::<Refusal>(&answer.body) {
-            self.check_refusal(customer, key, &refusal);
+            self.check_refusal(account, key, &refusal);
         }
     }
 
@@ -196,7 +196,7 @@
 
     /// Holds an answer against what was asked: every task once, each with its own answer.
     fn check(&self, arrival: &Arrival, key: &str, answer: &caller::JobAnswer) {
-        let job = key::scoped(&arrival.customer, key);
+        let job = key::scoped(&arrival.client_account, key);
         if answer.answers.len() != arrival.tasks.len() {
             self.tally.partial();
         }
@@ -213,12 +213,12 @@
     }
 
     /// Holds a "not run" against what has run, now and once more at the end.
-    fn check_refusal(&self, customer: &str, key: &str, refusal: &Refusal) {
+    fn check_refusal(&self, account: &str, key: &str, refusal: &Refusal) {
         if !refusal.not_run {
             return;
         }
         self.tally
-            .said_not_run(key::scoped(customer, key), refusal.code);
+            .said_not_run(key::scoped(account, key), refusal.code);
     }
 
     /// The shortest time in which a dispatcher without any cost could answer.
@@ -233,7 +233,7 @@
 fn body(arrival: &Arrival) -> (&'static str, Vec<u8>) {
     if arrival.request {
         let req = caller::Request {
-            customer: arrival.customer.clone(),
+            client_account: arrival.client_account.clone(),
             class: arrival.class.clone(),
             idempotent: arrival.idempotent,
             kind: "request".into(),
@@ -250,7 +250,7 @@
         input: input(arrival, i),
     };
     let job = submission::Job {
-        customer: arrival.customer.clone(),
+        client_account: arrival.client_account.clone(),
         class: arrival.class.clone(),
         tasks: (0..arrival.tasks.len()).map(task).collect(),
     };
--- a/src/demo/deployment.rs
+++ b/src/demo/deployment.rs
@@ -7,7 +7,7 @@
 
 /// A client account of a deployment.
 #[derive(Clone, Debug)]
-pub struct Customer {
+pub struct ClientAccount {
     /// Its name.
     pub name: &'static str,
     /// Its share of the small client accounts' work; nothing for the dominant one.
@@ -42,7 +42,7 @@
     /// The client account that sends more than all others.
     pub dominant: &'static str,
     /// The others.
-    pub small: Vec<Customer>,
+    pub small: Vec<ClientAccount>,
     /// The class of jobs.
     pub job_class: &'static str,
     /// The class of single requests.
@@ -75,7 +75,7 @@
         connections: 64,
         capacity: capacity(32, 64),
         dominant: "rede-estadual",
-        small: customers(&[
+        small: accounts(&[
             ("gravatai", 0.3),
             ("canoas", 0.2),
             ("blumenau", 0.15),
@@ -105,7 +105,7 @@
         connections: 64,
         capacity: capacity(64, 128),
         dominant: "southern-mills",
-        small: customers(&[
+        small: accounts(&[
             ("merredin-growers", 0.3),
             ("york-brokers", 0.25),
             ("wickepin-mill", 0.2),
@@ -131,12 +131,12 @@
     }
 }
 
-fn customers(shares: &[(&'static str, f64)]) -> Vec<Customer> {
-    let customer = |(name, share): &(&'static str, f64)| Customer {
+fn accounts(shares: &[(&'static str, f64)]) -> Vec<ClientAccount> {
+    let account = |(name, share): &(&'static str, f64)| ClientAccount {
         name,
         share: *share,
     };
-    shares.iter().map(customer).collect()
+    shares.iter().map(account).collect()
 }
 
 fn document(classes: &[(&str, i64)]) -> class::Document {
--- a/src/demo/inject.rs
+++ b/src/demo/inject.rs
@@ -183,7 +183,7 @@
     for _ in 0..WAVE {
         let arrival = Arrival {
             after: time::Duration::ZERO,
-            customer: scene.deployment.dominant.into(),
+            client_account: scene.deployment.dominant.into(),
             class: class.into(),
             target: target.unwrap_or_default(),
             request: false,
@@ -196,7 +196,7 @@
             let key = caller::mint(true);
             let cancelling = async {
                 tokio::time::sleep(time::Duration::from_millis(300)).await;
-                caller.cancel(&arrival.customer, &key).await;
+                caller.cancel(&arrival.client_account, &key).await;
             };
             tokio::join!(caller.run(&arrival, &key), cancelling);
             tally.withdrawn();
--- a/src/demo/race.rs
+++ b/src/demo/race.rs
@@ -65,7 +65,7 @@
         let mut document = before.document;
         // A quota that binds nobody, and that no other change sets.
         document.quotas = vec![class::Quota {
-            customer: "nobody".into(),
+            client_account: "nobody".into(),
             waiting_tasks: (1 + operator * 1_000 + change) as i64,
         }];
         let body = json!({ "base": before.version, "document": document }).to_string();
--- a/src/demo/report.rs
+++ b/src/demo/report.rs
@@ -63,9 +63,10 @@
     /// Longest time from an acceptance until every entry had the version.
     pub config_spread_seconds: f64,
     /// All client accounts but the largest, as one.
-    pub small: CustomerReport,
+    pub small: ClientAccountReport,
     /// Per client account.
-    pub customers: BTreeMap<id::Customer, CustomerReport>,
+    #[serde(rename = "customers")]
+    pub client_accounts: BTreeMap<id::ClientAccount, ClientAccountReport>,
     /// Messages by kind.
     pub messages: BTreeMap<&'static str, u64>,
     /// Messages per task started; the hop between agent and backend server on one machine apart.
@@ -78,7 +79,7 @@
 
 /// One client account's report.
 #[derive(Clone, Debug, Serialize)]
-pub struct CustomerReport {
+pub struct ClientAccountReport {
     /// Jobs and requests answered completely.
     pub complete: u64,
     /// Those that ran, or may have, without a complete answer.
@@ -137,7 +138,7 @@
             "{:<18} {:>9} {:>7} {:>8} {:>7} {:>7} {:>7} {:>9}",
             "customer", "complete", "failed", "refused", "p50", "p99", "max", "slot s"
         )];
-        for (name, c) in &self.customers {
+        for (name, c) in &self.client_accounts {
             lines.push(format!(
                 "{:<18} {:>9} {:>7} {:>8} {:>7.3} {:>7.3} {:>7.2} {:>9.1}",
                 name,
--- a/src/demo/tally.rs
+++ b/src/demo/tally.rs
@@ -10,7 +10,7 @@
 use crate::code;
 use crate::demo::config::Config;
 use crate::demo::ended::Ended;
-use crate::demo::report::{CustomerReport, Report};
+use crate::demo::report::{ClientAccountReport, Report};
 use crate::demo::workload::Arrival;
 use crate::id;
 use crate::standin::truth::Truth;
@@ -64,7 +64,7 @@
 
 #[derive(Default)]
 struct Inner {
-    customers: BTreeMap<id::Customer, PerCustomer>,
+    client_accounts: BTreeMap<id::ClientAccount, PerAccount>,
     codes: BTreeMap<String, u64>,
     partial: u64,
     foreign: u64,
@@ -81,16 +81,16 @@
     shown: Option<time::Instant>,
 }
 
-struct PerCustomer {
+struct PerAccount {
     ratios: Histogram<u64>,
     complete: u64,
     failed: u64,
     refused: u64,
 }
 
-impl Default for PerCustomer {
-    fn default() -> PerCustomer {
-        PerCustomer {
+impl Default for PerAccount {
+    fn default() -> PerAccount {
+        PerAccount {
             ratios: Histogram::new_with_max(MAX_RATIO, 3).expect("the bounds are valid"),
             complete: 0,
             failed: 0,
@@ -119,19 +119,25 @@
             Ended::Refused(refusal) => {
                 *inner.codes.entry(refusal.code.to_string()).or_default() += 1;
                 inner.unknown += u64::from(refusal.unknown);
-                let customer = inner.customers.entry(arrival.customer.clone()).or_default();
+                let account = inner
+                    .client_accounts
+                    .entry(arrival.client_account.clone())
+                    .or_default();
                 if refusal.not_run {
-                    customer.refused += 1;
+                    account.refused += 1;
                 } else {
-                    customer.failed += 1;
+                    account.failed += 1;
                     inner.failures.insert(job, refusal.code);
                 }
             }
             Ended::GaveUp => {
                 *inner.codes.entry("none".to_owned()).or_default() += 1;
                 inner.gave_up += 1;
-                let customer = inner.customers.entry(arrival.customer.clone()).or_default();
-                customer.failed += 1;
+                let account = inner
+                    .client_accounts
+                    .entry(arrival.client_account.clone())
+                    .or_default();
+                account.failed += 1;
             }
         }
     }
@@ -174,8 +180,8 @@
             return;
         }
         inner.shown = Some(time::Instant::now());
-        let complete: u64 = inner.customers.values().map(|c| c.complete).sum();
-        let refused: u64 = inner.customers.values().map(|c| c.refused).sum();
+        let complete: u64 = inner.client_accounts.values().map(|c| c.complete).sum();
+        let refused: u64 = inner.client_accounts.values().map(|c| c.refused).sum();
         let (elapsed, of) = (elapsed.as_secs(), of.as_secs());
         eprint!("\r{elapsed:>4} of {of} s, {complete} complete, {refused} refused ");
         let _ = std::io::stderr().flush();
@@ -196,8 +202,8 @@
         }
         let inner = self.lock();
         let used = truth.slot_micros();
-        let total = |f: fn(&PerCustomer) -> u64| inner.customers.values().map(f).sum();
-        let customer = |(name, c): (&id::Customer, &PerCustomer)| {
+        let total = |f: fn(&PerAccount) -> u64| inner.client_accounts.values().map(f).sum();
+        let account = |(name, c): (&id::ClientAccount, &PerAccount)| {
             let micros = used.get(name).copied().unwrap_or(0);
             (name.clone(), c.report(micros as f64 / 1e6))
         };
@@ -231,7 +237,7 @@
             config_broken: race.broken,
             config_spread_seconds: race.spread.as_secs_f64(),
             small: inner.small(cfg.deployment.dominant),
-            customers: inner.customers.iter().map(customer).collect(),
+            client_accounts: inner.client_accounts.iter().map(account).collect(),
             messages: BTreeMap::new(),
             messages_per_task: 0.0,
             wasted_per_task: 0.0,
@@ -248,9 +254,12 @@
     fn complete(&mut self, arrival: &Arrival, flight: Flight) {
         let ratio = flight.took.as_secs_f64() / flight.ideal.as_secs_f64().max(1e-6);
         self.late += u64::from(flight.took > arrival.target);
-        let customer = self.customers.entry(arrival.customer.clone()).or_default();
-        customer.complete += 1;
-        customer
+        let account = self
+            .client_accounts
+            .entry(arrival.client_account.clone())
+            .or_default();
+        account.complete += 1;
+        account
             .ratios
             .saturating_record((ratio * RATIO_UNIT) as u64);
     }
@@ -311,9 +320,13 @@
     }
 
     /// All client accounts but the dominant one, as one.
-    fn small(&self, dominant: &str) -> CustomerReport {
-        let mut all = PerCustomer::default();
-        for (_, c) in self.customers.iter().filter(|(name, _)| *name != dominant) {
+    fn small(&self, dominant: &str) -> ClientAccountReport {
+        let mut all = PerAccount::default();
+        for (_, c) in self
+            .client_accounts
+            .iter()
+            .filter(|(name, _)| *name != dominant)
+        {
             all.complete += c.complete;
             all.failed += c.failed;
             all.refused += c.refused;
@@ -325,10 +338,10 @@
     }
 }
 
-impl PerCustomer {
-    fn report(&self, slot_seconds: f64) -> CustomerReport {
+impl PerAccount {
+    fn report(&self, slot_seconds: f64) -> ClientAccountReport {
         let ratio = |value: u64| value as f64 / RATIO_UNIT;
-        CustomerReport {
+        ClientAccountReport {
             complete: self.complete,
             failed: self.failed,
             refused: self.refused,
--- a/src/demo/workload.rs
+++ b/src/demo/workload.rs
@@ -26,7 +26,7 @@
     /// Time since the arrival before.
     pub after: time::Duration,
     /// Who sends it.
-    pub customer: id::Customer,
+    pub client_account: id::ClientAccount,
     /// Its class.
     pub class: id::ClassName,
     /// Whether it is a single request.
@@ -86,7 +86,7 @@
         };
         Arrival {
             after: time::Duration::from_secs_f64(-unit.ln() / self.rate.max(1e-9)),
-            customer: self.draw_customer(),
+            client_account: self.draw_account(),
             class: class.into(),
             target: self.target(class),
             request,
@@ -101,15 +101,15 @@
         class.map_or(class::MAX_TARGET, class::Class::target)
     }
 
-    fn draw_customer(&mut self) -> CompactString {
+    fn draw_account(&mut self) -> CompactString {
         if self.rng.random_bool(self.dominant) {
             return self.deployment.dominant.into();
         }
         let mut left: f64 = self.rng.random_range(0.0..1.0);
-        for customer in &self.deployment.small {
-            left -= customer.share;
+        for account in &self.deployment.small {
+            left -= account.share;
             if left <= 0.0 {
-                return customer.name.into();
+                return account.name.into();
             }
         }
         self.deployment.small[0].name.into()
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -134,7 +134,7 @@
     };
     Some(Submission {
         minted_ms: minted_ms(&key),
-        key: key::scoped(&job.customer, &key),
+        key: key::scoped(&job.client_account, &key),
         digest: key::digest(&draft.body),
         idempotent: draft.idempotent,
         job,
@@ -155,14 +155,14 @@
 async fn cancel(core: &Core, uri: &Uri) -> Reply {
     let key = uri.path().strip_prefix("/v1/jobs/").unwrap_or_default();
     let query = uri.query().unwrap_or_default();
-    let customer = query
+    let account = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("customer="));
-    let Some(customer) = customer.filter(|_| !key.is_empty()) else {
+    let Some(account) = account.filter(|_| !key.is_empty()) else {
         let detail = "DELETE takes /v1/jobs/KEY?customer=NAME";
         return Reply::refusal(&Refusal::detailed(Code::KeyMissing, detail));
     };
-    let key = key::scoped(customer, key);
+    let key = key::scoped(account, key);
     let ending = core.cancel(key.clone()).await;
     match &*ending {
         // The caller got what it asked for.
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -62,7 +62,8 @@
     /// The agents, each beside its backend server.
     pub agents: BTreeMap<id::AgentId, AgentStatus>,
     /// Waiting tasks by client account.
-    pub customers: BTreeMap<id::Customer, usize>,
+    #[serde(rename = "customers")]
+    pub client_accounts: BTreeMap<id::ClientAccount, usize>,
 }
 
 /// One agent and the backend server beside it.
@@ -152,7 +153,7 @@
 
 fn owned_status(owner: &owner::Owner) -> OwnedStatus {
     let agent = |(id, agent): (&id::AgentId, &fleet::Agent)| (id.clone(), agent_status(agent));
-    let waiting = |(customer, tasks): (&id::Customer, usize)| (customer.clone(), tasks);
+    let waiting = |(account, tasks): (&id::ClientAccount, usize)| (account.clone(), tasks);
     OwnedStatus {
         ready: owner.is_ready(),
         open_jobs: owner.open_jobs(),
@@ -160,7 +161,7 @@
         slots: owner.fleet().slots(),
         free_slots: owner.fleet().free_slots(),
         agents: owner.fleet().agents().iter().map(agent).collect(),
-        customers: owner.queue().customers().map(waiting).collect(),
+        client_accounts: owner.queue().client_accounts().map(waiting).collect(),
     }
 }
 
--- a/src/filter/parse.rs
+++ b/src/filter/parse.rs
@@ -15,7 +15,7 @@
         Kind::Request => read_request(&draft.body),
     };
     let job = job.map_err(|e| Refusal::detailed(code::Code::BadJson, &e.to_string()))?;
-    if !class::is_name(&job.customer) {
+    if !class::is_name(&job.client_account) {
         return Err(Refusal::detailed(
             code::Code::BadTask,
             "customer isn't a name",
--- a/src/id.rs
+++ b/src/id.rs
@@ -15,7 +15,7 @@
 pub type ClassName = CompactString;
 
 /// Names a client account; from the caller's request.
-pub type Customer = CompactString;
+pub type ClientAccount = CompactString;
 
 /// Names one entry process; from its settings.
 pub type EntryId = CompactString;
--- a/src/key.rs
+++ b/src/key.rs
@@ -11,8 +11,8 @@
 pub const MAX_KEY_BYTES: usize = 128;
 
 /// Scopes a caller's key to its client account, so that two client accounts can't collide or read each other.
-pub fn scoped(customer: &str, key: &str) -> id::JobKey {
-    format_compact!("{customer}/{key}")
+pub fn scoped(account: &str, key: &str) -> id::JobKey {
+    format_compact!("{account}/{key}")
 }
 
 /// Tells which cell a key belongs to; every entry must compute the same, so the hash is fixed.
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -201,7 +201,8 @@
         let index = incoming
             .header(backend::INDEX)
             .and_then(|text| text.parse().ok());
-        let customer = CompactString::from(incoming.header(backend::CUSTOMER).unwrap_or_default());
+        let account =
+            CompactString::from(incoming.header(backend::CLIENT_ACCOUNT).unwrap_or_default());
         let Ok(body) = incoming.read(MAX_INPUT).await else {
             return Reply::refusal(&Refusal::new(code::Code::BadJson));
         };
@@ -218,7 +219,7 @@
         self.work(&input, conduct).await;
         running.ended = true;
         self.truth
-            .used(&customer, begun.elapsed().as_micros() as u64);
+            .used(&account, begun.elapsed().as_micros() as u64);
         self.answer(id, &input, conduct)
     }
 
--- a/src/standin/truth.rs
+++ b/src/standin/truth.rs
@@ -23,7 +23,7 @@
     cut_off: Vec<id::JobKey>,
     workers_died: u64,
     cancelled: HashSet<id::JobKey>,
-    slot_micros: HashMap<id::Customer, u64>,
+    slot_micros: HashMap<id::ClientAccount, u64>,
     by_backend: HashMap<CompactString, u64>,
 }
 
@@ -37,7 +37,7 @@
     /// Jobs with a run that was cut off.
     pub cut_off: Vec<id::JobKey>,
     /// Slot time by client account, in microseconds.
-    pub slot_micros: HashMap<id::Customer, u64>,
+    pub slot_micros: HashMap<id::ClientAccount, u64>,
 }
 
 impl Truth {
@@ -59,8 +59,8 @@
             *inner.started.entry(id.job.clone()).or_default() += n;
             *inner.starts.entry(id).or_default() += n;
         }
-        for (customer, micros) in snapshot.slot_micros {
-            *inner.slot_micros.entry(customer).or_default() += micros;
+        for (account, micros) in snapshot.slot_micros {
+            *inner.slot_micros.entry(account).or_default() += micros;
         }
         inner.work_after_leave += snapshot.work_after_leave;
         inner.cut_off.extend(snapshot.cut_off);
@@ -95,8 +95,8 @@
     }
 
     /// Books slot time on a client account.
-    pub fn used(&self, customer: &str, micros: u64) {
-        *self.lock().slot_micros.entry(customer.into()).or_default() += micros;
+    pub fn used(&self, account: &str, micros: u64) {
+        *self.lock().slot_micros.entry(account.into()).or_default() += micros;
     }
 
     /// Tasks started.
@@ -137,7 +137,7 @@
     }
 
     /// Slot time by client account, in microseconds.
-    pub fn slot_micros(&self) -> HashMap<id::Customer, u64> {
+    pub fn slot_micros(&self) -> HashMap<id::ClientAccount, u64> {
         self.lock().slot_micros.clone()
     }
 
--- a/src/submission.rs
+++ b/src/submission.rs
@@ -31,7 +31,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Job {
     /// Who submits.
-    pub customer: id::Customer,
+    #[serde(rename = "customer")]
+    pub client_account: id::ClientAccount,
     /// The class of work.
     pub class: id::ClassName,
     /// The tasks, 1 up to the class's `max_tasks`.
--- a/src/wire/backend.rs
+++ b/src/wire/backend.rs
@@ -23,7 +23,7 @@
 /// Header: the task's index in its job.
 pub const INDEX: &str = "lovagemill-task";
 /// Header: the client account.
-pub const CUSTOMER: &str = "lovagemill-customer";
+pub const CLIENT_ACCOUNT: &str = "lovagemill-customer";
 /// Header: milliseconds until the answer is worthless.
 pub const DEADLINE: &str = "lovagemill-deadline-ms";
 
@@ -53,7 +53,7 @@
     /// The task.
     pub id: task::Id,
     /// Its client account.
-    pub customer: CompactString,
+    pub client_account: CompactString,
     /// Milliseconds until its answer is worthless.
     pub deadline_ms: u64,
     /// Its input.
@@ -71,7 +71,7 @@
     let mut call = http::Call::new(Method::POST, format!("http://{}/run", run.addr), body)
         .header(JOB, run.id.job.as_str())
         .header(INDEX, run.id.index.to_string())
-        .header(CUSTOMER, run.customer.as_str())
+        .header(CLIENT_ACCOUNT, run.client_account.as_str())
         .header(DEADLINE, run.deadline_ms.to_string());
     if let Some(parent) = &run.traceparent {
         call = call.header(trace::TRACEPARENT, parent.as_str());
--- a/src/wire/caller.rs
+++ b/src/wire/caller.rs
@@ -19,7 +19,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Request {
     /// Who asks.
-    pub customer: id::Customer,
+    #[serde(rename = "customer")]
+    pub client_account: id::ClientAccount,
     /// The class of work.
     pub class: id::ClassName,
     /// Whether running it twice would do no harm.
@@ -42,7 +43,7 @@
     /// The job of one task that this request is.
     pub fn into_job(self) -> submission::Job {
         submission::Job {
-            customer: self.customer,
+            client_account: self.client_account,
             class: self.class,
             tasks: vec![submission::Task {
                 kind: self.kind,
--- a/tests/contract_backend.rs
+++ b/tests/contract_backend.rs
@@ -42,7 +42,7 @@
                     job: "merredin/a".into(),
                     index: 2,
                 },
-                customer: "merredin".into(),
+                client_account: "merredin".into(),
                 deadline_ms: LIMIT_MS,
                 input: RawValue::from_string("{}".to_owned()).unwrap(),
                 traceparent: None,
--- a/tests/decide_health.rs
+++ b/tests/decide_health.rs
@@ -16,8 +16,8 @@
         if fake.now - fake.begun < SICK_FROM {
             from = fake.starts.len();
         }
-        let customer = ["town", "village", "state"][i % 3];
-        fake.submit(customer, fake::tasks(14, 250, 250));
+        let account = ["town", "village", "state"][i % 3];
+        fake.submit(account, fake::tasks(14, 250, 250));
         fake.pass(Duration::from_millis(50));
     }
     fake.pass(Duration::from_secs(8));
@@ -83,10 +83,10 @@
 /// One client account sends input on which every task fails, on every worker. The workers are well, and
 /// nobody else may lose them.
 #[test]
-fn broken_input_of_one_customer_bars_no_worker() {
+fn broken_input_of_one_client_account_bars_no_worker() {
     let mut fake = fake::open(4);
     fake.conduct = Box::new(|_, start, _| {
-        if start.customer == "broken" {
+        if start.client_account == "broken" {
             return fake::failing();
         }
         fake::well(start)
@@ -147,8 +147,8 @@
     let mut fake = fake::open(8);
     fake.conduct = Box::new(|_, _, _| fake::failing());
     for i in 0..100 {
-        let customer = format!("customer-{}", i % 50);
-        fake.submit(&customer, fake::tasks(1, 100, 100));
+        let account = format!("customer-{}", i % 50);
+        fake.submit(&account, fake::tasks(1, 100, 100));
         fake.pass(Duration::from_millis(10));
         assert!(fake.owner.fleet().slots() >= 4);
     }
--- a/tests/decide_learning.rs
+++ b/tests/decide_learning.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const CUSTOMER: CompactString = CompactString::const_new("town");
+const ACCOUNT: CompactString = CompactString::const_new("town");
 const KIND: CompactString = CompactString::const_new("check");
 
 /// Declared values that are all wrong by the same factor are corrected, and still tell long tasks
@@ -20,9 +20,9 @@
         for _ in 0..50 {
             let ms: u64 = rng.random_range(50..1_000);
             let declared = (ms as f64 * factor) as u64;
-            estimates.observe(&CUSTOMER, &KIND, declared, Duration::from_millis(ms));
+            estimates.observe(&ACCOUNT, &KIND, declared, Duration::from_millis(ms));
         }
-        let guess = estimates.guess(&CUSTOMER, &KIND, (700.0 * factor) as u64);
+        let guess = estimates.guess(&ACCOUNT, &KIND, (700.0 * factor) as u64);
         assert!((650..750).contains(&guess.as_millis()), "{guess:?}");
     }
 }
@@ -35,9 +35,9 @@
     for _ in 0..200 {
         let declared = 10_u64.pow(rng.random_range(1..6));
         let ran = Duration::from_millis(rng.random_range(290..310));
-        estimates.observe(&CUSTOMER, &KIND, declared, ran);
+        estimates.observe(&ACCOUNT, &KIND, declared, ran);
     }
-    let guess = estimates.guess(&CUSTOMER, &KIND, 100_000);
+    let guess = estimates.guess(&ACCOUNT, &KIND, 100_000);
     assert!((280..320).contains(&guess.as_millis()), "{guess:?}");
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn declared_value_is_the_prior() {
     let estimates = Estimates::default();
-    let declared = estimates.guess(&CUSTOMER, &KIND, 700);
+    let declared = estimates.guess(&ACCOUNT, &KIND, 700);
     assert_eq!(declared, Duration::from_millis(700));
-    assert!(estimates.guess(&CUSTOMER, &KIND, 0) > Duration::ZERO);
+    assert!(estimates.guess(&ACCOUNT, &KIND, 0) > Duration::ZERO);
 }
--- a/tests/decide_queue.rs
+++ b/tests/decide_queue.rs
@@ -7,9 +7,9 @@
 use decide_support as fake;
 
 /// Floods an owner for a while, as a client account that offers several times the capacity does.
-fn flood(fake: &mut fake::Fake, customer: &str, jobs: usize, every: Duration) {
+fn flood(fake: &mut fake::Fake, account: &str, jobs: usize, every: Duration) {
     for _ in 0..jobs {
-        fake.submit(customer, fake::tasks(10, 300, 300));
+        fake.submit(account, fake::tasks(10, 300, 300));
         fake.pass(every);
     }
 }
@@ -17,7 +17,7 @@
 /// The large state network floods the service just before a small town's first trip of the day.
 /// The town's check must not queue behind the flood: its tasks take the next slots that come free.
 #[test]
-fn small_customers_job_takes_the_next_free_slots() {
+fn small_client_accounts_job_takes_the_next_free_slots() {
     let mut fake = fake::open(2);
     flood(&mut fake, "state", 100, Duration::from_millis(25));
     let before = fake.starts.len();
@@ -32,7 +32,7 @@
 /// A small client account that uses more than the dominant one gets, since others use most of the
 /// capacity, must still go first: by used time alone it would have to compete with the flood.
 #[test]
-fn customer_that_used_more_but_offers_less_goes_first() {
+fn client_account_that_used_more_but_offers_less_goes_first() {
     let mut fake = fake::open(2);
     for _ in 0..120 {
         fake.submit("state", fake::tasks(10, 300, 300));
@@ -49,7 +49,7 @@
 
 /// The dominant client account alone, or with idle small ones, uses every slot.
 #[test]
-fn dominant_customer_gets_all_that_others_leave() {
+fn dominant_client_account_gets_all_that_others_leave() {
     let mut fake = fake::open(2);
     flood(&mut fake, "state", 200, Duration::from_millis(25));
     let from = fake.starts.len();
@@ -63,7 +63,7 @@
 /// Small client accounts burst beyond the capacity for long. The dominant one, which asks for far more,
 /// would get nothing at all; one task in some fifty is its own.
 #[test]
-fn heavy_customer_is_never_starved() {
+fn heavy_client_account_is_never_starved() {
     let mut fake = fake::open(2);
     flood(&mut fake, "state", 40, Duration::from_millis(25));
     let from = fake.starts.len();
@@ -83,7 +83,7 @@
 /// Two large client accounts offer far more than there is; neither may starve the other, whichever
 /// offers a little more.
 #[test]
-fn two_heavy_customers_share_alike() {
+fn two_heavy_client_accounts_share_alike() {
     let mut fake = fake::open(2);
     for _ in 0..200 {
         fake.submit("north", fake::tasks(11, 300, 300));
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -87,14 +87,14 @@
     minted_ms: Option<u64>,
     tasks: Vec<submission::Task>,
 ) -> submission::Submission {
-    let (customer, _) = key.split_once('/').expect("a key is scoped");
+    let (account, _) = key.split_once('/').expect("a key is scoped");
     submission::Submission {
         key: key.into(),
         digest: 1,
         minted_ms,
         idempotent: true,
         job: submission::Job {
-            customer: customer.into(),
+            client_account: account.into(),
             class: CLASS.into(),
             tasks,
         },
@@ -161,15 +161,15 @@
     }
 
     /// Submits a job and returns its number.
-    pub fn submit(&mut self, customer: &str, tasks: Vec<submission::Task>) -> Waiter {
+    pub fn submit(&mut self, account: &str, tasks: Vec<submission::Task>) -> Waiter {
         let first = self.numbers + 1;
-        self.resubmit(customer, first, tasks)
+        self.resubmit(account, first, tasks)
     }
 
     /// Submits a job again, under the key of its first submission, and returns the new number.
     pub fn resubmit(
         &mut self,
-        customer: &str,
+        account: &str,
         first: Waiter,
         tasks: Vec<submission::Task>,
     ) -> Waiter {
@@ -177,7 +177,7 @@
         let number = self.numbers;
         let submission = submission::Submission {
             digest: first,
-            ..submission(&key(customer, first), Some(1_700_000_000_000), tasks)
+            ..submission(&key(account, first), Some(1_700_000_000_000), tasks)
         };
         self.owner.table_seen(self.now);
         self.owner.submit(self.now, Arc::new(submission), number);
@@ -186,8 +186,8 @@
     }
 
     /// Withdraws a job.
-    pub fn cancel(&mut self, customer: &str, number: Waiter) {
-        let key = key(customer, number);
+    pub fn cancel(&mut self, account: &str, number: Waiter) {
+        let key = key(account, number);
         self.owner.cancel(self.now, &key, Waiter::MAX);
         self.act();
     }
@@ -223,8 +223,8 @@
     }
 
     /// Starts of a client account from the `from`th start on.
-    pub fn starts_of(&self, customer: &str, from: usize) -> usize {
-        let prefix = format!("{customer}/");
+    pub fn starts_of(&self, account: &str, from: usize) -> usize {
+        let prefix = format!("{account}/");
         let starts = self.starts[from..].iter();
         starts.filter(|(_, id)| id.job.starts_with(&prefix)).count()
     }
@@ -311,6 +311,6 @@
     }
 }
 
-fn key(customer: &str, number: Waiter) -> CompactString {
-    format_compact!("{customer}/{}", number.to_compact_string())
+fn key(account: &str, number: Waiter) -> CompactString {
+    format_compact!("{account}/{}", number.to_compact_string())
 }
--- a/tests/fault_leave.rs
+++ b/tests/fault_leave.rs
@@ -44,7 +44,7 @@
     let caller = caller::open(target, tally);
     let arrival = Arrival {
         after: time::Duration::ZERO,
-        customer: "canoas".into(),
+        client_account: "canoas".into(),
         class: deployment.job_class.into(),
         target: time::Duration::from_secs(8),
         request: false,
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -331,7 +331,7 @@
             job: "york/k1".into(),
             index: 2,
         },
-        customer: "york".into(),
+        client_account: "york".into(),
         deadline_ms: LIMIT.as_millis() as u64,
         input: RawValue::from_string("{\"ms\":5}".to_owned()).unwrap(),
         traceparent: Some("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01".into()),
--- a/tests/formats/reports.rs
+++ b/tests/formats/reports.rs
@@ -13,7 +13,7 @@
 /// What `--json` prints of a demo and of a bench, and how an owner shows an agent.
 #[test]
 fn reports() {
-    let small = report::CustomerReport {
+    let small = report::ClientAccountReport {
         complete: 1,
         failed: 2,
         refused: 3,
@@ -50,7 +50,7 @@
         config_broken: 25,
         config_spread_seconds: 26.5,
         small: small.clone(),
-        customers: [("york".into(), small)].into(),
+        client_accounts: [("york".into(), small)].into(),
         messages: [("submit", 27)].into(),
         messages_per_task: 28.5,
         wasted_per_task: 29.5,
--- a/tests/support/path.rs
+++ b/tests/support/path.rs
@@ -44,7 +44,7 @@
             max_tasks: 4,
         }],
         quotas: vec![class::Quota {
-            customer: "york".into(),
+            client_account: "york".into(),
             waiting_tasks: 2,
         }],
     }
