--- a/examples/besteffort_cost.rs
+++ b/examples/besteffort_cost.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 use lovagemill::besteffort::line;
 use lovagemill::decide::besteffort::message::{
-    Ended, FromAgent, FromEntry, How, Progress, Room, Run, Start,
+    AgentMessage, EntryMessage, Progress, Room, Run, RunEnd, RunOutcome, Start,
 };
 use lovagemill::platform::http::{self as server, Caps};
 use lovagemill::wire::http::{self, Call};
@@ -107,11 +107,11 @@
     let (accepted, connected) = tokio::try_join!(listener.accept(), connecting)?;
     let (mut reader, _writer) = line::open(accepted.0)?;
     let (_reader, mut writer) = line::open(connected)?;
-    let heartbeat = FromEntry::default();
+    let heartbeat = EntryMessage::default();
     let before = time::Instant::now();
     let reading = async {
         for _ in 0..EXCHANGES {
-            reader.read::<FromEntry>().await?;
+            reader.read::<EntryMessage>().await?;
         }
         anyhow::Ok(())
     };
@@ -131,30 +131,30 @@
 }
 
 fn main() -> anyhow::Result<()> {
-    let heartbeat = FromEntry {
+    let heartbeat = EntryMessage {
         seen_ms: 482_113,
-        ..FromEntry::default()
+        ..EntryMessage::default()
     };
     measure("heartbeat of an entry", &heartbeat);
-    let starts = FromEntry {
+    let starts = EntryMessage {
         starts: (0..TASKS).map(start).collect(),
         ..heartbeat
     };
     measure("starts of a job of 3 tasks", &starts);
-    let progress = FromAgent {
+    let progress = AgentMessage {
         now_ms: 482_113,
         progress: vec![Progress {
             run: run(0),
             percent: 40,
             age_ms: 60,
         }],
-        ..FromAgent::default()
+        ..AgentMessage::default()
     };
     measure("heartbeat of an agent with a run", &progress);
-    let ended = FromAgent {
-        ended: vec![Ended {
+    let ended = AgentMessage {
+        ended: vec![RunEnd {
             run: run(0),
-            how: How::Done,
+            outcome: RunOutcome::Done,
             took_ms: 92,
         }],
         ..progress
--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -13,7 +13,7 @@
 use crate::besteffort::agent::{tell_all, tell_news, Inner, Link, TICK};
 use crate::besteffort::line;
 use crate::clock;
-use crate::decide::besteffort::message::{Backend, EntryName, FromAgent, FromEntry};
+use crate::decide::besteffort::message::{AgentMessage, Backend, EntryIncarnation, EntryMessage};
 use crate::mutex;
 
 /// Longest that an entry may take to say who it is.
@@ -63,14 +63,14 @@
     }
     drop(links);
     if let Err(e) = result {
-        log::debug!(entry = name.entry.as_str(), life = name.life, error = e.to_string().as_str();
+        log::debug!(entry = name.entry.as_str(), life = name.incarnation, error = e.to_string().as_str();
             "link to an entry has ended");
     }
 }
 
 /// An entry that has connected and said who it is.
 struct Greeted {
-    name: EntryName,
+    name: EntryIncarnation,
     number: u64,
     reader: line::Reader,
     writer: line::Writer,
@@ -79,7 +79,7 @@
 async fn greet(inner: &Arc<Inner>, stream: TcpStream) -> io::Result<Greeted> {
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
     let (mut reader, writer) = line::open(stream)?;
-    let first: FromEntry = timeout(HELLO, reader.read()).await.map_err(late)??;
+    let first: EntryMessage = timeout(HELLO, reader.read()).await.map_err(late)??;
     let name = first.entry.ok_or(io::ErrorKind::InvalidData)?;
     // Until then no entry may hear that nothing runs here.
     while !inner.clean.load(Ordering::Relaxed) {
@@ -95,7 +95,7 @@
 
 /// Makes a link the one of its entry; none if a later one is, or if there are too many. The one before is closed: an entry's connection that
 /// went silent would take in ends and loans that the entry never hears of.
-fn take_over(inner: &Inner, name: &EntryName, number: u64) -> Option<Link> {
+fn take_over(inner: &Inner, name: &EntryIncarnation, number: u64) -> Option<Link> {
     let mut links = mutex::lock(&inner.links);
     if let Some(old) = links.get(name) {
         if old.number > number {
@@ -126,10 +126,10 @@
             "a later link of the entry is up, or too many are",
         ));
     };
-    log::info!(entry = name.entry.as_str(), life = name.life; "link to an entry is up");
+    log::info!(entry = name.entry.as_str(), life = name.incarnation; "link to an entry is up");
     let mut hello = mutex::lock(&inner.slots).entry_up(clock::since_boot(), &name);
     hello.agent = inner.cfg.name.clone();
-    hello.life = inner.cfg.life;
+    hello.incarnation = inner.cfg.life;
     hello.failure_domain = inner.cfg.failure_domain.clone();
     let mut talk = Talk {
         inner: inner.clone(),
@@ -146,7 +146,7 @@
     loop {
         let answers = tokio::select! {
             () = link.close.notified() => return Ok(()),
-            line = reader.read::<FromEntry>() => {
+            line = reader.read::<EntryMessage>() => {
                 heard = clock::since_boot();
                 talk.take(line?);
                 written.elapsed() > heartbeat.mul_f64(JUST_WRITTEN)
@@ -169,13 +169,13 @@
 /// One link while it is up.
 struct Talk {
     inner: Arc<Inner>,
-    name: EntryName,
+    name: EntryIncarnation,
     told: Backend,
     taken: u64,
 }
 
 impl Talk {
-    fn take(&mut self, line: FromEntry) {
+    fn take(&mut self, line: EntryMessage) {
         let now = clock::since_boot();
         let changed = {
             let mut slots = mutex::lock(&self.inner.slots);
@@ -190,7 +190,7 @@
                 self.taken += 1;
                 slots.start(now, &self.name, fresh, start);
             }
-            slots.waits(now, &self.name, line.seen_ms, line.wants);
+            slots.waits(now, &self.name, line.seen_ms, line.waiting);
             changed
         };
         flush(&self.inner);
@@ -201,10 +201,10 @@
         }
     }
 
-    fn line(&mut self) -> FromAgent {
+    fn line(&mut self) -> AgentMessage {
         let mut slots = mutex::lock(&self.inner.slots);
         let mut line = slots.line(&self.name, clock::since_boot());
-        line.taken = self.taken;
+        line.starts_read = self.taken;
         let backend = slots.backend();
         if backend != self.told {
             self.told = backend.clone();
--- a/src/besteffort/agent/mod.rs
+++ b/src/besteffort/agent/mod.rs
@@ -26,7 +26,7 @@
 use crate::clock;
 use crate::decide::besteffort::lease::{self, Bounds};
 use crate::decide::besteffort::message::{
-    Backend, Crash, EntryName, Heartbeat, Room, Run, ServerLife,
+    Backend, Crash, EntryIncarnation, Heartbeat, Room, Run, ServerIncarnation,
 };
 use crate::decide::besteffort::slots::{Counts, Listing, Recipient, Slots, StartAnswer};
 use crate::id;
@@ -112,7 +112,7 @@
     cfg: Config,
     server: BackendServer,
     slots: Mutex<Slots>,
-    links: Mutex<HashMap<EntryName, Link>>,
+    links: Mutex<HashMap<EntryIncarnation, Link>>,
     /// Wakes the listing loop when work begins after a quiet time.
     work: Notify,
     /// Wakes it when the backend server has a new life.
@@ -178,7 +178,7 @@
     }
 
     /// The life of the backend server that is known; with an empty id before any.
-    pub fn life(&self) -> ServerLife {
+    pub fn life(&self) -> ServerIncarnation {
         mutex::lock(&self.inner.slots).life().clone()
     }
 
@@ -193,7 +193,7 @@
         if !self.life().id.is_empty() {
             return;
         }
-        let life = backend.life.clone();
+        let life = backend.incarnation.clone();
         // Whatever it has said since goes first.
         let heartbeat = Heartbeat { backend, number: 0 };
         let check = mutex::lock(&self.inner.slots).announced(clock::since_boot(), heartbeat);
@@ -206,7 +206,7 @@
     }
 
     /// A life of the backend server has left.
-    pub fn left(&self, life: &ServerLife) {
+    pub fn left(&self, life: &ServerIncarnation) {
         mutex::lock(&self.inner.slots).left(clock::since_boot(), life);
         flush(&self.inner);
         tell_all(&self.inner);
@@ -236,7 +236,7 @@
             log::warn!("stopping with runs left; they are ended");
             mutex::lock(&self.inner.slots).stop_all(clock::since_boot());
             flush(&self.inner);
-            sleep(2 * lease::STOP).await;
+            sleep(2 * lease::MAX_STOP_TIME).await;
         }
         // The last ends leave with the next line.
         sleep(TICK).await;
--- a/src/besteffort/entry/link.rs
+++ b/src/besteffort/entry/link.rs
@@ -14,7 +14,7 @@
 use crate::clock;
 use crate::decide::besteffort::evacuation;
 use crate::decide::besteffort::job::LinkNo;
-use crate::decide::besteffort::message::{FromAgent, FromEntry, Wants};
+use crate::decide::besteffort::message::{AgentMessage, EntryMessage, WaitingWork};
 use crate::id;
 use crate::mutex;
 
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub(super) struct Link {
     /// What waits for the writer.
-    pub(super) out: Mutex<FromEntry>,
+    pub(super) out: Mutex<EntryMessage>,
     /// When the last line left.
     pub(super) written: Mutex<time::Duration>,
     pub(super) news: Notify,
@@ -107,24 +107,24 @@
     let stream = timeout(CONNECT, TcpStream::connect(addr));
     let stream = stream.await.map_err(late)??;
     let (mut reader, mut writer) = line::open(stream)?;
-    let first = FromEntry {
+    let first = EntryMessage {
         entry: Some(inner.cfg.name.clone()),
         link: no,
-        ..FromEntry::default()
+        ..EntryMessage::default()
     };
     writer.write(&first).await?;
-    let hello: FromAgent = timeout(HELLO, reader.read()).await.map_err(late)??;
+    let hello: AgentMessage = timeout(HELLO, reader.read()).await.map_err(late)??;
     let named = hello.hello.as_ref().filter(|hello| hello.agent == *agent);
     let domain = named.map(|hello| hello.failure_domain.clone());
     let domain = domain.ok_or_else(|| io::Error::other("another agent has its address"))?;
     let link = Arc::new(Link::default());
     mutex::lock(&inner.links).insert(no, link.clone());
-    let mut told = evacuation::Told::default();
+    let mut told = evacuation::LastSent::default();
     let mut seen = Seen::default();
     take(inner, no, &mut seen, hello);
     loop {
         tokio::select! {
-            line = reader.read::<FromAgent>() => {
+            line = reader.read::<AgentMessage>() => {
                 let line = line?;
                 let lent = !line.lent.is_empty();
                 take(inner, no, &mut seen, line);
@@ -144,14 +144,14 @@
 }
 
 /// What waits for room now; the agent of a link is about to hear of it.
-fn say_wants(inner: &Inner, no: LinkNo) -> Option<Wants> {
+fn say_wants(inner: &Inner, no: LinkNo) -> Option<WaitingWork> {
     let mut waits = mutex::lock(&inner.waits);
     let wants = waits.wants;
     waits.asking.said(no, wants.map(|wants| wants.priority));
     wants
 }
 
-fn take(inner: &Arc<Inner>, no: LinkNo, seen: &mut Seen, line: FromAgent) {
+fn take(inner: &Arc<Inner>, no: LinkNo, seen: &mut Seen, line: AgentMessage) {
     let now = clock::since_boot();
     seen.agent_ms = line.now_ms;
     seen.at = now;
@@ -175,10 +175,10 @@
 impl Seen {
     /// The next line, with what waits for the writer; times become those of the agent's clock. The
     /// way here makes them too early at most.
-    fn line(&self, link: &Link, wants: Option<Wants>) -> FromEntry {
+    fn line(&self, link: &Link, wants: Option<WaitingWork>) -> EntryMessage {
         *mutex::lock(&link.written) = clock::since_boot();
         let mut line = std::mem::take(&mut *mutex::lock(&link.out));
-        line.wants = wants;
+        line.waiting = wants;
         line.seen_ms = self.agent_ms;
         let at = self.at.as_millis() as u64;
         let there = |ms: u64| (ms + self.agent_ms).saturating_sub(at);
@@ -186,7 +186,7 @@
             start.deadline_ms = there(start.deadline_ms);
             start.urgency_ms = there(start.urgency_ms);
         }
-        if let Some(wants) = &mut line.wants {
+        if let Some(wants) = &mut line.waiting {
             wants.urgency_ms = there(wants.urgency_ms);
         }
         line
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -15,14 +15,14 @@
 
 use crate::besteffort::entry::link::{keep_link, Link};
 use crate::clock;
-use crate::decide::besteffort::asking::Asking;
-use crate::decide::besteffort::board::{Action, Admitted, Board, Counts, Membership};
-use crate::decide::besteffort::evacuation::{Evacuations, Reading};
+use crate::decide::besteffort::asking::RoomRequests;
+use crate::decide::besteffort::board::{Action, Board, Counts, Membership, SubmitResult};
+use crate::decide::besteffort::evacuation::{Evacuations, StoreReading};
 use crate::decide::besteffort::job::{JobNo, LinkNo, Outcome, Submission};
 use crate::decide::besteffort::lease::Bounds;
-use crate::decide::besteffort::message::{Crash, EntryName, FromEntry, Wants};
+use crate::decide::besteffort::message::{Crash, EntryIncarnation, EntryMessage, WaitingWork};
 use crate::decide::besteffort::policy::Policy;
-use crate::decide::besteffort::subset::{Change, Member};
+use crate::decide::besteffort::subset::{LinkChange, ListedAgent};
 use crate::id;
 use crate::mutex;
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name and life.
-    pub name: EntryName,
+    pub name: EntryIncarnation,
     /// Its failure domain.
     pub failure_domain: CompactString,
     /// The time bounds that it keeps.
@@ -66,8 +66,8 @@
 
 #[derive(Default)]
 struct Waits {
-    wants: Option<Wants>,
-    asking: Asking,
+    wants: Option<WaitingWork>,
+    asking: RoomRequests,
 }
 
 /// A running entry.
@@ -99,7 +99,7 @@
 
 impl Entry {
     /// An agent is listed, or is listed with other words than before.
-    pub fn list(&self, member: Member) {
+    pub fn list(&self, member: ListedAgent) {
         mutex::lock(&self.inner.board).list(member);
     }
 
@@ -119,8 +119,8 @@
     pub async fn run(&self, ask: Submission) -> Outcome {
         let admitted = mutex::lock(&self.inner.board).submit(clock::since_boot(), ask);
         let no = match admitted {
-            Admitted::Answered(outcome) => return outcome,
-            Admitted::Job(no) => no,
+            SubmitResult::Answered(outcome) => return outcome,
+            SubmitResult::Job(no) => no,
         };
         let (tx, rx) = oneshot::channel();
         mutex::lock(&self.inner.callers)
@@ -174,7 +174,7 @@
     }
 
     /// Says which failure domains operators have evacuated. Agents hear of a change at once.
-    pub fn evacuated(&self, reading: &Reading) {
+    pub fn evacuated(&self, reading: &StoreReading) {
         let mut evacuations = mutex::lock(&self.inner.evacuations);
         if !evacuations.read(reading) {
             return;
@@ -309,22 +309,22 @@
     }
 }
 
-fn out(links: &BTreeMap<LinkNo, Arc<Link>>, link: LinkNo, add: impl FnOnce(&mut FromEntry)) {
+fn out(links: &BTreeMap<LinkNo, Arc<Link>>, link: LinkNo, add: impl FnOnce(&mut EntryMessage)) {
     if let Some(link) = links.get(&link) {
         add(&mut mutex::lock(&link.out));
         link.news.notify_one();
     }
 }
 
-fn change_link(inner: &Arc<Inner>, change: Change) {
+fn change_link(inner: &Arc<Inner>, change: LinkChange) {
     let mut kept = mutex::lock(&inner.kept);
     match change {
-        Change::Open(agent, addr) => {
+        LinkChange::Open(agent, addr) => {
             let (tx, rx) = oneshot::channel();
             tokio::spawn(keep_link(inner.clone(), agent.clone(), addr, rx));
             kept.insert(agent, tx);
         }
-        Change::Close(agent) => {
+        LinkChange::Close(agent) => {
             kept.remove(&agent);
         }
     }
--- a/src/besteffort/line.rs
+++ b/src/besteffort/line.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::decide::besteffort::message::MAX_LINE;
+use crate::decide::besteffort::message::MAX_MESSAGE_BYTES;
 
 /// Longest that a write may take: a peer that doesn't read for so long counts as gone.
 const WRITE: time::Duration = time::Duration::from_millis(400);
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// Fails at the end of the connection, on a line over [`MAX_LINE`] and on one that isn't what is
+    /// Fails at the end of the connection, on a line over [`MAX_MESSAGE_BYTES`] and on one that isn't what is
     /// expected.
     pub async fn read<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         loop {
@@ -62,7 +62,7 @@
                 self.buf.clear();
                 return line.map_err(io::Error::from);
             }
-            let left = (MAX_LINE - self.buf.len().min(MAX_LINE)) as u64;
+            let left = (MAX_MESSAGE_BYTES - self.buf.len().min(MAX_MESSAGE_BYTES)) as u64;
             if left == 0 {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "line too long"));
             }
--- a/src/decide/besteffort/asking.rs
+++ b/src/decide/besteffort/asking.rs
@@ -20,7 +20,7 @@
 
 /// What agents know of this entry's needs.
 #[derive(Debug, Default)]
-pub struct Asking {
+pub struct RoomRequests {
     /// Urgency of the work that an agent believes to wait here, by its link.
     told: BTreeMap<LinkNo, u32>,
     /// The link that was asked last; the next ones follow it.
@@ -28,7 +28,7 @@
     asked_at: time::Duration,
 }
 
-impl Asking {
+impl RoomRequests {
     /// A line leaves on a link, and says how urgent what waits is; none if nothing waits.
     pub fn said(&mut self, link: LinkNo, priority: Option<u32>) {
         match priority {
--- a/src/decide/besteffort/board/agents.rs
+++ b/src/decide/besteffort/board/agents.rs
@@ -4,9 +4,9 @@
 use std::time;
 
 use crate::decide::besteffort::board::{Action, Board};
-use crate::decide::besteffort::job::{Job, JobNo, LinkNo, Outcome, Placed, State};
-use crate::decide::besteffort::message::{Crash, Ended, FromAgent, Hello, How, Run};
-use crate::decide::besteffort::view::View;
+use crate::decide::besteffort::job::{Job, JobNo, LinkNo, Outcome, PlacedRun, State};
+use crate::decide::besteffort::message::{AgentMessage, Crash, Hello, Run, RunEnd, RunOutcome};
+use crate::decide::besteffort::view::AgentView;
 use crate::id;
 
 /// How far run numbers jump after a start that didn't begin; a second's worth.
@@ -31,14 +31,15 @@
             self.links.remove(&old);
             self.actions.push(Action::Close(old));
         }
-        let (agent, life) = (hello.agent.clone(), hello.life);
+        let (agent, life) = (hello.agent.clone(), hello.incarnation);
         log::info!(agent = agent.as_str(), life = life, runs = hello.runs.len(); "agent is there");
         let view = self.agents.entry(agent.clone());
-        let view = view.or_insert_with(|| View::open(self.policy.bar, agent.clone(), life, now));
+        let view =
+            view.or_insert_with(|| AgentView::open(self.policy.bar, agent.clone(), life, now));
         if view.life != life {
             // What an earlier life said of its backend server isn't this one's word: starts would go to
             // an agent that knows of none, and come back one after the other.
-            *view = View::open(self.policy.bar, agent.clone(), life, now);
+            *view = AgentView::open(self.policy.bar, agent.clone(), life, now);
         }
         view.failure_domain = hello.failure_domain.clone();
         view.linked(link, now);
@@ -82,20 +83,20 @@
     }
 
     /// A line of an agent.
-    pub fn heard(&mut self, now: time::Duration, link: LinkNo, line: &FromAgent) {
+    pub fn heard(&mut self, now: time::Duration, link: LinkNo, line: &AgentMessage) {
         let Some(agent) = self.links.get(&link).cloned() else {
             return;
         };
         if let Some(view) = self.agents.get_mut(&agent) {
-            let before = view.backend.life.clone();
+            let before = view.backend.incarnation.clone();
             let took = view.is_there();
             view.heard(now, line);
-            if view.backend.life != before {
+            if view.backend.incarnation != before {
                 self.learned.forget(&agent);
             }
             if view.is_there() != took {
                 log::info!(agent = agent.as_str(), takes_work = view.is_there(),
-                    instance = view.backend.life.id.as_str(), born_ms = view.backend.life.born_ms; "agent changed its mind about new work");
+                    instance = view.backend.incarnation.id.as_str(), born_ms = view.backend.incarnation.born_ms; "agent changed its mind about new work");
             }
         }
         self.crashed(now, &agent, &line.crashes);
@@ -164,13 +165,13 @@
             heard_ms_ago = now.saturating_sub(view.heard).as_millis() as u64; "agent is cut off");
     }
 
-    fn ended(&mut self, now: time::Duration, ends: &[Ended]) {
+    fn ended(&mut self, now: time::Duration, ends: &[RunEnd]) {
         for end in ends {
             self.run_ended(now, end);
         }
     }
 
-    fn run_ended(&mut self, now: time::Duration, end: &Ended) {
+    fn run_ended(&mut self, now: time::Duration, end: &RunEnd) {
         let Some(no) = self.by_id.get(&end.run.job).copied() else {
             return;
         };
@@ -191,8 +192,8 @@
         if let Some(view) = self.agents.get_mut(&placed.agent) {
             view.ended(1);
         }
-        match end.how {
-            How::Done => {
+        match end.outcome {
+            RunOutcome::Done => {
                 task.state = State::Done;
                 task.last = Some(placed.agent.clone());
                 job.left -= 1;
@@ -208,19 +209,19 @@
                     self.finish(now, no, Outcome::Complete);
                 }
             }
-            How::Failed => self.run_failed(now, no, &end.run, &placed),
-            How::Gone => {
+            RunOutcome::Failed => self.run_failed(now, no, &end.run, &placed),
+            RunOutcome::Gone => {
                 self.counts.lost += u64::from(!placed.moving);
                 self.requeue(now, no, end.run.task);
             }
-            How::NotRun | How::Rejected => {
+            RunOutcome::NotRun | RunOutcome::Rejected => {
                 // A run number that a backend server takes for an old one is too small because the
                 // clock that it came from was set back.
                 job.next_run += RUN_STEP;
                 self.counts.bounced += 1;
                 if let Some(view) = self.agents.get_mut(&placed.agent) {
                     view.turned_away(now);
-                    if end.how == How::Rejected && view.failed(now) {
+                    if end.outcome == RunOutcome::Rejected && view.failed(now) {
                         log::warn!(agent = placed.agent.as_str(), why = "rejects"; "agent is barred");
                     }
                 }
@@ -229,7 +230,7 @@
         }
     }
 
-    fn run_failed(&mut self, now: time::Duration, no: JobNo, run: &Run, placed: &Placed) {
+    fn run_failed(&mut self, now: time::Duration, no: JobNo, run: &Run, placed: &PlacedRun) {
         self.counts.failed += 1;
         let barred = self
             .agents
@@ -266,7 +267,7 @@
     }
 
     /// A run that an agent has, by what is known here.
-    pub(super) fn placed(&mut self, run: &Run, agent: &str) -> Option<(JobNo, &mut Placed)> {
+    pub(super) fn placed(&mut self, run: &Run, agent: &str) -> Option<(JobNo, &mut PlacedRun)> {
         let no = *self.by_id.get(&run.job)?;
         let job = self.jobs.get_mut(&no)?;
         match &mut job.tasks.get_mut(run.task as usize)?.state {
--- a/src/decide/besteffort/board/endings.rs
+++ b/src/decide/besteffort/board/endings.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 
 use crate::decide::besteffort::board::{Action, Board, RETRY_NO_WORKER};
-use crate::decide::besteffort::job::{Job, JobNo, NotRun, Outcome, Task};
+use crate::decide::besteffort::job::{Job, JobNo, NotRunReason, Outcome, Task};
 
 /// How long endings answer a submission that arrives once more; callers do so seconds later.
 const KEEP_ENDINGS: time::Duration = time::Duration::from_secs(15);
@@ -39,9 +39,9 @@
             Outcome::GaveUp if job.starts == 0 => {
                 let is_served = self.suiting(&job).next().is_some();
                 let why = if is_served {
-                    NotRun::Overloaded
+                    NotRunReason::Overloaded
                 } else {
-                    NotRun::NoWorker
+                    NotRunReason::NoWorker
                 };
                 Outcome::NotRun(why, RETRY_NO_WORKER)
             }
--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -17,14 +17,16 @@
 
 use crate::decide::besteffort::crashes::Crashes;
 use crate::decide::besteffort::flow::Flow;
-use crate::decide::besteffort::job::{Job, JobNo, LinkNo, NotRun, Outcome, Rank, Submission};
-use crate::decide::besteffort::learn::Learned;
+use crate::decide::besteffort::job::{
+    Job, JobNo, LinkNo, NotRunReason, Outcome, QueueKey, Submission,
+};
+use crate::decide::besteffort::learn::RunTimes;
 use crate::decide::besteffort::lease::Bounds;
-use crate::decide::besteffort::message::{JobId, Run, Start, Wants};
-use crate::decide::besteffort::patience::Patience;
+use crate::decide::besteffort::message::{JobId, Run, Start, WaitingWork};
+use crate::decide::besteffort::patience::EarlierWaits;
 use crate::decide::besteffort::policy::Policy;
-use crate::decide::besteffort::subset::{Change, Subset};
-use crate::decide::besteffort::view::View;
+use crate::decide::besteffort::subset::{LinkChange, Subset};
+use crate::decide::besteffort::view::AgentView;
 use crate::id;
 use crate::metrics;
 
@@ -48,7 +50,7 @@
     /// Close the link to an agent that isn't heard; it is opened again.
     Close(LinkNo),
     /// Keep a link to an agent, or don't any more.
-    Link(Change),
+    Link(LinkChange),
 }
 
 /// Counts since the start, for the metrics page.
@@ -100,15 +102,15 @@
 pub struct Board {
     policy: Policy,
     bounds: Bounds,
-    agents: BTreeMap<id::AgentId, View>,
+    agents: BTreeMap<id::AgentId, AgentView>,
     /// Ordered, so that the same events have the same effects each time.
     jobs: BTreeMap<JobNo, Job>,
     /// Tasks that wait for room, the next one first.
-    queue: BTreeSet<Rank>,
+    queue: BTreeSet<QueueKey>,
     flow: Flow,
-    learned: Learned,
+    learned: RunTimes,
     crashes: Crashes,
-    patience: Patience,
+    patience: EarlierWaits,
     /// What the driver hasn't fetched yet.
     actions: Vec<Action>,
     /// What the entry did since the start.
@@ -146,7 +148,7 @@
 
 /// What becomes of a submission.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Admitted {
+pub enum SubmitResult {
     /// It is a job; its answer comes as an [`Action::Answer`].
     Job(JobNo),
     /// It is answered at once.
@@ -167,9 +169,9 @@
             jobs: BTreeMap::new(),
             queue: BTreeSet::new(),
             flow: Flow::default(),
-            learned: Learned::open(policy.learning),
+            learned: RunTimes::open(policy.learning),
             crashes: Crashes::default(),
-            patience: Patience::default(),
+            patience: EarlierWaits::default(),
             actions: Vec::new(),
             counts: Counts::default(),
             domain: domain.into(),
@@ -187,12 +189,12 @@
     }
 
     /// Takes a submission in, or refuses it at once if it can't be served.
-    pub fn submit(&mut self, now: time::Duration, ask: Submission) -> Admitted {
+    pub fn submit(&mut self, now: time::Duration, ask: Submission) -> SubmitResult {
         if let Some(no) = self.by_id.get(&ask.job) {
-            return Admitted::Job(*no);
+            return SubmitResult::Job(*no);
         }
         if let Some(outcome) = self.endings.get(&ask.job) {
-            return Admitted::Answered(outcome.clone());
+            return SubmitResult::Answered(outcome.clone());
         }
         let estimate = self.learned.estimate(&ask.class, ask.declared);
         let waited = self.patience.waited(&ask.class, ask.short_by);
@@ -200,14 +202,14 @@
         if let Some(task) = self.crashes.cause_in(&job.ask.job) {
             self.log_crashing(&job, task);
             self.log_end(now, &job, &Outcome::Failed);
-            return Admitted::Answered(Outcome::Failed);
+            return SubmitResult::Answered(Outcome::Failed);
         }
         let no = self.next + 1;
         let is_parked = self.park(now, no, &job);
         if !is_parked {
             if let Some((why, back)) = self.refusal(now, &job) {
                 self.log_end(now, &job, &Outcome::NotRun(why, back));
-                return Admitted::Answered(Outcome::NotRun(why, back));
+                return SubmitResult::Answered(Outcome::NotRun(why, back));
             }
         }
         self.next = no;
@@ -217,7 +219,7 @@
         } else {
             self.queue_up(now, no, job);
         }
-        Admitted::Job(no)
+        SubmitResult::Job(no)
     }
 
     fn queue_up(&mut self, now: time::Duration, no: JobNo, job: Job) {
@@ -241,17 +243,17 @@
         }
     }
 
-    fn refusal(&self, now: time::Duration, job: &Job) -> Option<(NotRun, time::Duration)> {
+    fn refusal(&self, now: time::Duration, job: &Job) -> Option<(NotRunReason, time::Duration)> {
         let mut there = self.agents.values().filter(|v| v.is_there());
         if self.is_settled(now) && !there.any(|v| v.backend.service == job.ask.service) {
-            return Some((NotRun::NoWorker, RETRY_NO_WORKER));
+            return Some((NotRunReason::NoWorker, RETRY_NO_WORKER));
         }
         if self.is_settled(now) && self.holding(job).next().is_none() {
             let held_before = self.suiting(job).any(|v| v.largest.fits(&job.ask.need));
             let why = if held_before {
-                NotRun::Shrunk
+                NotRunReason::Shrunk
             } else {
-                NotRun::NoFit
+                NotRunReason::NoFit
             };
             return Some((why, RETRY_NO_WORKER));
         }
@@ -259,7 +261,7 @@
         let wait = forecast.wait;
         let end = now + wait + job.estimate;
         if self.stopping.is_some_and(|by| end + job.estimate > by) {
-            return Some((NotRun::Stopping, RETRY_NO_WORKER));
+            return Some((NotRunReason::Stopping, RETRY_NO_WORKER));
         }
         let slack = job.latest.saturating_sub(now);
         let late = end > job.ask.deadline || wait > slack.mul_f64(self.policy.admission.admitted);
@@ -268,7 +270,7 @@
             log::info!(job = job.ask.job.as_str(), wait_ms = wait.as_millis() as u64,
                 slack_ms = slack.as_millis() as u64, ahead = forecast.ahead as u64,
                 rate = forecast.rate as u64, room = forecast.room; "job would be late");
-            return Some((NotRun::Overloaded, wait));
+            return Some((NotRunReason::Overloaded, wait));
         }
         None
     }
@@ -338,11 +340,11 @@
     }
 
     /// The work that waits for room, if any does; its urgency on the clock of the entry.
-    pub fn wants(&self) -> Option<Wants> {
+    pub fn wants(&self) -> Option<WaitingWork> {
         let (priority, latest, no, _) = self.queue.first()?;
         // Late work takes what is left over, and competes with none.
         let job = self.jobs.get(no).filter(|job| !job.is_late())?;
-        Some(Wants {
+        Some(WaitingWork {
             priority: *priority,
             urgency_ms: latest.as_millis() as u64,
             need: job.ask.need,
--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -13,9 +13,9 @@
 use crate::decide::besteffort::board::{Action, Board};
 use crate::decide::besteffort::crashes;
 use crate::decide::besteffort::draw;
-use crate::decide::besteffort::job::{Job, JobNo, Placed, State, Task};
+use crate::decide::besteffort::job::{Job, JobNo, PlacedRun, State, Task};
 use crate::decide::besteffort::message::Start;
-use crate::decide::besteffort::view::View;
+use crate::decide::besteffort::view::AgentView;
 use crate::id;
 
 /// Shortest time for which room is taken, in seconds.
@@ -39,18 +39,18 @@
 
 impl Board {
     /// The agents whose workers take work and may run a job, room apart.
-    pub(super) fn suiting<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a View> {
+    pub(super) fn suiting<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a AgentView> {
         let there = self.agents.values().filter(|view| view.is_there());
         there.filter(|view| Board::suits(job, view))
     }
 
     /// Those of them that are large enough for a task of the job, were they idle.
-    pub(super) fn holding<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a View> {
+    pub(super) fn holding<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a AgentView> {
         let suiting = self.suiting(job);
         suiting.filter(|view| view.backend.size.fits(&job.ask.need))
     }
 
-    fn suits(job: &Job, view: &View) -> bool {
+    fn suits(job: &Job, view: &AgentView) -> bool {
         let ask = &job.ask;
         let labelled = |label: &CompactString| view.backend.labels.contains(label);
         view.backend.service == ask.service && ask.requires.as_ref().is_none_or(labelled)
@@ -155,7 +155,7 @@
         job.first_start.get_or_insert(now);
         let task = &mut job.tasks[index as usize];
         self.counts.again += u64::from(task.last.is_some());
-        task.state = State::Placed(Placed {
+        task.state = State::Placed(PlacedRun {
             agent,
             number,
             percent: 0,
@@ -191,27 +191,27 @@
         let seed = draw::seed(&job.run(index, job.next_run));
         let drawn = alike.map(|(_, view)| {
             let room = view.free().cpu as f64;
-            (draw::place(seed, &view.agent, room), view)
+            (draw::weighted_key(seed, &view.agent, room), view)
         });
         let first = drawn.min_by(|(a, _), (b, _)| a.total_cmp(b));
         first.map(|(_, view)| view.agent.clone())
     }
 
     /// The agents that a task may be sent to now, each with its expected run time there in seconds.
-    fn open_agents(&self, now: time::Duration, job: &Job, task: &Task) -> Vec<(f64, &View)> {
+    fn open_agents(&self, now: time::Duration, job: &Job, task: &Task) -> Vec<(f64, &AgentView)> {
         // A second failure at the same worker may be the job's last: it waits for another one.
         let failed_at = task
             .last
             .as_ref()
             .filter(|_| task.failed > 0 && self.has_other(job));
-        let is_open = |view: &&View| {
+        let is_open = |view: &&AgentView| {
             view.takes(now)
                 && Board::suits(job, view)
                 && self.has_room(job, view)
                 && failed_at != Some(&view.agent)
                 && self.has_share(job, view)
         };
-        let cost = |view: &View, slowness: f64| {
+        let cost = |view: &AgentView, slowness: f64| {
             let cost = self.cost(job, view, slowness);
             if task.last.as_ref() == Some(&view.agent) {
                 cost * self.policy.placement.again
@@ -229,7 +229,7 @@
     }
 
     /// Late work leaves some room for work that can be in time: that would have to wait for it to end.
-    fn has_room(&self, job: &Job, view: &View) -> bool {
+    fn has_room(&self, job: &Job, view: &AgentView) -> bool {
         let mut free = view.free();
         if job.is_late() {
             free.cpu -= (view.backend.size.cpu as f64 * self.policy.placement.kept) as i64;
@@ -241,7 +241,7 @@
         self.holding(job).count() > 1
     }
 
-    fn has_share(&self, job: &Job, view: &View) -> bool {
+    fn has_share(&self, job: &Job, view: &AgentView) -> bool {
         let Some(most) = job.ask.per_worker else {
             return true;
         };
@@ -257,7 +257,7 @@
     }
 
     /// Expected run time of a task at an agent of some slowness, in seconds.
-    pub(super) fn cost(&self, job: &Job, view: &View, slowness: f64) -> f64 {
+    pub(super) fn cost(&self, job: &Job, view: &AgentView, slowness: f64) -> f64 {
         let mut cost = job.estimate.as_secs_f64() * slowness;
         let near = job.ask.near.as_ref();
         if near.is_some_and(|label| !view.backend.labels.contains(label)) {
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -9,7 +9,7 @@
 use crate::decide::besteffort::board::{Action, Board};
 use crate::decide::besteffort::job::{Job, JobNo, Submission};
 use crate::decide::besteffort::message::Crash;
-use crate::decide::besteffort::subset::{Change, Member};
+use crate::decide::besteffort::subset::{LinkChange, ListedAgent};
 use crate::id;
 
 /// How often unused links are looked for; small against the time after which one counts as unused.
@@ -38,7 +38,7 @@
     judged_at: time::Duration,
 }
 
-fn suits(ask: &Submission, member: &Member) -> bool {
+fn suits(ask: &Submission, member: &ListedAgent) -> bool {
     let labelled = |label| member.labels.contains(label);
     member.service == ask.service
         && ask.requires.as_ref().is_none_or(labelled)
@@ -47,7 +47,7 @@
 
 impl Board {
     /// An agent is listed, or is listed with other words than before.
-    pub fn list(&mut self, member: Member) {
+    pub fn list(&mut self, member: ListedAgent) {
         let change = self.subset.list(member);
         self.apply(change);
         self.review_at = time::Duration::ZERO;
@@ -149,7 +149,7 @@
         let has_any = self.holding(job).next().is_some();
         let (opening, changes) = match &ask.near {
             Some(near) if !self.has_room_near(job, near) => {
-                let is_near = |m: &Member| suits(ask, m) && m.labels.contains(near);
+                let is_near = |m: &ListedAgent| suits(ask, m) && m.labels.contains(near);
                 self.subset.reach_out(now, sought, is_near)
             }
             _ if !has_any => self.subset.reach_out(now, sought, |m| suits(ask, m)),
@@ -210,7 +210,7 @@
         self.subset.listed()
     }
 
-    fn apply(&mut self, changes: impl IntoIterator<Item = Change>) {
+    fn apply(&mut self, changes: impl IntoIterator<Item = LinkChange>) {
         self.actions.extend(changes.into_iter().map(Action::Link));
     }
 }
--- a/src/decide/besteffort/board/rescue.rs
+++ b/src/decide/besteffort/board/rescue.rs
@@ -7,7 +7,7 @@
 use std::time;
 
 use crate::decide::besteffort::board::{Action, Board};
-use crate::decide::besteffort::job::{JobNo, Placed};
+use crate::decide::besteffort::job::{JobNo, PlacedRun};
 use crate::decide::besteffort::message::{Progress, Run};
 
 impl Board {
@@ -33,7 +33,7 @@
         now: time::Duration,
         no: JobNo,
         run: &Run,
-        placed: &Placed,
+        placed: &PlacedRun,
         age: time::Duration,
     ) {
         let Some(job) = self.jobs.get(&no) else {
@@ -83,7 +83,7 @@
         }
     }
 
-    fn move_away(&mut self, no: JobNo, run: &Run, placed: &Placed) {
+    fn move_away(&mut self, no: JobNo, run: &Run, placed: &PlacedRun) {
         let Some(link) = self.agents.get(&placed.agent).and_then(|view| view.link) else {
             return;
         };
--- a/src/decide/besteffort/crashes.rs
+++ b/src/decide/besteffort/crashes.rs
@@ -1,8 +1,8 @@
 //! Which tasks an entry believes to crash backend servers.
 //!
 //! A crash takes down all that runs beside its cause, so that each of those tasks becomes a suspect. Suspicion
-//! is counted in points: a task that had just begun gets [`LIKELY`], any other [`POSSIBLE`]. A suspect's next run
-//! is on probation, and a crash in that time proves it the cause. So does [`CAUSE`], after two crashes, or four
+//! is counted in points: a task that had just begun gets [`LIKELY_POINTS`], any other [`POSSIBLE_POINTS`]. A suspect's next run
+//! is on probation, and a crash in that time proves it the cause. So does [`CAUSE_POINTS`], after two crashes, or four
 //! for a task that takes a while. It is given up then, which clears what was beside it. Agents tell every entry,
 //! so that the count outlives an entry and holds for a job that is submitted again elsewhere.
 //! `docs/design/crashes.md` has the argument.
@@ -14,27 +14,27 @@
 use crate::id;
 
 /// Points of a task that had just begun when the backend server crashed.
-pub const LIKELY: u32 = 2;
+pub const LIKELY_POINTS: u32 = 2;
 
 /// Points of one that had run for a while.
-pub const POSSIBLE: u32 = 1;
+pub const POSSIBLE_POINTS: u32 = 1;
 
 /// Points with which a task is given up.
-pub const CAUSE: u32 = 4;
+pub const CAUSE_POINTS: u32 = 4;
 
 /// How long after its start a task is the likely cause of a crash. A suspect that has run for so long
 /// without one is let run beside others.
 pub const PROBATION: time::Duration = time::Duration::from_millis(100);
 
 /// How long a crash is remembered: longer than callers submit one job again.
-pub const REMEMBERED: time::Duration = time::Duration::from_secs(15);
+pub const REMEMBERED_FOR: time::Duration = time::Duration::from_secs(15);
 
 /// Most crashes that are remembered.
 const MAX_KNOWN: usize = 512;
 
 /// Whether so many points make a task run apart from others at first.
 pub fn is_suspect(points: u32) -> bool {
-    points >= LIKELY
+    points >= LIKELY_POINTS
 }
 
 /// Tells crashes apart: the agent, which life of it, and which of the backend servers beside it.
@@ -86,7 +86,7 @@
         }
         let job = job.into();
         let name = TaskName { job, task };
-        let least = u32::from(self.watched.contains(&name)) * LIKELY;
+        let least = u32::from(self.watched.contains(&name)) * LIKELY_POINTS;
         self.points_of(&name).max(least)
     }
 
@@ -99,7 +99,7 @@
     /// The first task of a job that has to be given up.
     pub fn cause_in(&self, job: &str) -> Option<id::TaskIndex> {
         let tasks = self.points.get(job)?.iter();
-        let causes = tasks.filter(|(_, points)| **points >= CAUSE);
+        let causes = tasks.filter(|(_, points)| **points >= CAUSE_POINTS);
         causes.map(|(task, _)| *task).min()
     }
 
@@ -115,7 +115,7 @@
     pub fn forget(&mut self, now: time::Duration) {
         let before = self.known.len();
         self.known
-            .retain(|known| now.saturating_sub(known.at) < REMEMBERED);
+            .retain(|known| now.saturating_sub(known.at) < REMEMBERED_FOR);
         if self.known.len() < before {
             self.count();
         }
@@ -126,9 +126,9 @@
         self.watched.clear();
         for known in &self.known {
             let crash = &known.crash;
-            let proven = crash.proven.iter().map(|name| (name, CAUSE));
-            let likely = crash.likely.iter().map(|name| (name, LIKELY));
-            let possible = crash.possible.iter().map(|name| (name, POSSIBLE));
+            let proven = crash.proven.iter().map(|name| (name, CAUSE_POINTS));
+            let likely = crash.likely.iter().map(|name| (name, LIKELY_POINTS));
+            let possible = crash.possible.iter().map(|name| (name, POSSIBLE_POINTS));
             for (name, points) in proven.chain(likely).chain(possible) {
                 let tasks = self.points.entry(name.job.clone()).or_default();
                 *tasks.entry(name.task).or_default() += points;
@@ -140,7 +140,7 @@
     /// A crash whose cause is known tells nothing against what ran beside it.
     fn clear_innocent(&mut self) {
         let all = self.known.iter().flat_map(|known| known.crash.suspects());
-        let causes = all.filter(|name| self.points_of(name) >= CAUSE);
+        let causes = all.filter(|name| self.points_of(name) >= CAUSE_POINTS);
         let causes: HashSet<TaskName> = causes.cloned().collect();
         if causes.is_empty() {
             return;
--- a/src/decide/besteffort/draw.rs
+++ b/src/decide/besteffort/draw.rs
@@ -23,6 +23,6 @@
 
 /// The place of an agent in the draw of a seed; the least wins. Of agents with `room` each wins with a
 /// chance in proportion to it (the least of exponential times whose rates are the rooms).
-pub fn place(seed: u64, agent: &str, room: f64) -> f64 {
+pub fn weighted_key(seed: u64, agent: &str, room: f64) -> f64 {
     -uniform(seed, agent).ln() / room.max(f64::MIN_POSITIVE)
 }
--- a/src/decide/besteffort/evacuation.rs
+++ b/src/decide/besteffort/evacuation.rs
@@ -20,7 +20,7 @@
 
 /// What an entry tells an agent of its failure domain.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Word {
+pub struct DomainState {
     /// The version of the store at which it was true; one count for the whole store.
     pub version: u64,
     /// Whether the domain is evacuated.
@@ -29,7 +29,7 @@
 
 /// What one look at the platform's store brought.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Reading {
+pub struct StoreReading {
     /// The newest version of the store then.
     pub version: u64,
     /// Whether these are all domains that are evacuated, not only those of which that has changed.
@@ -48,7 +48,7 @@
 impl Evacuations {
     /// Takes in a reading; one that is older than what is known is passed over. Returns whether any domain
     /// was evacuated or taken back.
-    pub fn read(&mut self, reading: &Reading) -> bool {
+    pub fn read(&mut self, reading: &StoreReading) -> bool {
         if reading.version < self.version {
             return false;
         }
@@ -73,18 +73,18 @@
     }
 
     /// What to tell the agents of a domain; nothing before anything was read.
-    pub fn word(&self, domain: &str) -> Option<Word> {
-        (self.version > 0).then(|| Word {
+    pub fn word(&self, domain: &str) -> Option<DomainState> {
+        (self.version > 0).then(|| DomainState {
             version: self.version,
             evacuated: self.domains.contains(domain),
         })
     }
 }
 
-impl Word {
+impl DomainState {
     /// Takes in another word on the same domain: the one read at a newer version holds. Returns whether
     /// the domain was evacuated or taken back by it.
-    pub fn update(&mut self, other: Word) -> bool {
+    pub fn update(&mut self, other: DomainState) -> bool {
         if other.version < self.version {
             return false;
         }
@@ -96,12 +96,12 @@
 
 /// What an entry has told one agent on the link that is up.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told(Option<(bool, time::Duration)>);
+pub struct LastSent(Option<(bool, time::Duration)>);
 
-impl Told {
+impl LastSent {
     /// Which part of a word the next line should carry: all of it where the agent hasn't heard it yet or
     /// for [`AGAIN`], else nothing.
-    pub fn due(&mut self, now: time::Duration, word: Option<Word>) -> Option<Word> {
+    pub fn due(&mut self, now: time::Duration, word: Option<DomainState>) -> Option<DomainState> {
         let word = word?;
         let is_known = |(evacuated, at): (bool, time::Duration)| {
             evacuated == word.evacuated && now.saturating_sub(at) < AGAIN
--- a/src/decide/besteffort/job.rs
+++ b/src/decide/besteffort/job.rs
@@ -17,10 +17,10 @@
 const MAX_PLACES: usize = 32;
 
 /// Urgency of work whose target can't be met any more; behind that of every class.
-pub const LATE: u32 = u32::MAX;
+pub const LATE_PRIORITY: u32 = u32::MAX;
 
 /// The order in which tasks wait: urgency of the class, then the latest start that meets the target.
-pub type Rank = (u32, time::Duration, JobNo, id::TaskIndex);
+pub type QueueKey = (u32, time::Duration, JobNo, id::TaskIndex);
 
 /// What a caller asked for, with what the configuration says of its class.
 #[derive(Clone, Debug)]
@@ -72,12 +72,12 @@
     /// Time ran out after part of it may have run.
     GaveUp,
     /// Nothing of it ran; when to come back.
-    NotRun(NotRun, time::Duration),
+    NotRun(NotRunReason, time::Duration),
 }
 
 /// Why nothing of a job ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NotRun {
+pub enum NotRunReason {
     /// No worker of its service takes work.
     NoWorker,
     /// No worker is large enough, or has the label that it needs.
@@ -90,15 +90,15 @@
     Stopping,
 }
 
-impl NotRun {
+impl NotRunReason {
     /// The reason as logs and metrics name it.
     pub fn name(self) -> &'static str {
         match self {
-            NotRun::NoWorker => "no_worker",
-            NotRun::NoFit => "no_fit",
-            NotRun::Shrunk => "shrunk",
-            NotRun::Overloaded => "overloaded",
-            NotRun::Stopping => "stopping",
+            NotRunReason::NoWorker => "no_worker",
+            NotRunReason::NoFit => "no_fit",
+            NotRunReason::Shrunk => "shrunk",
+            NotRunReason::Overloaded => "overloaded",
+            NotRunReason::Stopping => "stopping",
         }
     }
 }
@@ -121,14 +121,14 @@
     /// It waits for room.
     Waiting,
     /// It was sent to an agent.
-    Placed(Placed),
+    Placed(PlacedRun),
     /// It is done.
     Done,
 }
 
 /// A run that an agent has.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct PlacedRun {
     /// The agent.
     pub agent: id::AgentId,
     /// The run.
@@ -163,7 +163,7 @@
     pub arrived: time::Duration,
     /// How long a task is thought to run on a sound worker.
     pub estimate: time::Duration,
-    /// Urgency of its class, or [`LATE`].
+    /// Urgency of its class, or [`LATE_PRIORITY`].
     pub priority: u32,
     /// Latest time for a task to start if the target is to be met, or the answer to come in time if it
     /// can't be.
@@ -182,7 +182,7 @@
 
 impl Job {
     /// Where a task of the job stands in the queue.
-    pub fn rank(&self, no: JobNo, task: id::TaskIndex) -> Rank {
+    pub fn rank(&self, no: JobNo, task: id::TaskIndex) -> QueueKey {
         (self.priority, self.latest, no, task)
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Its runs that were sent to an agent and haven't ended, and where they are.
-    pub fn runs(&self) -> impl Iterator<Item = (Run, &Placed)> {
+    pub fn runs(&self) -> impl Iterator<Item = (Run, &PlacedRun)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(index, task)| match &task.state {
             State::Placed(placed) => {
@@ -225,7 +225,7 @@
 
     /// Whether its target had passed when it came.
     pub fn is_late(&self) -> bool {
-        self.priority == LATE
+        self.priority == LATE_PRIORITY
     }
 
     /// The room of all its tasks, in thousandths of a core.
@@ -249,7 +249,7 @@
         let (priority, latest) = if waited <= allowed {
             (ask.priority, now + allowed - waited)
         } else {
-            (LATE, ask.deadline.saturating_sub(estimate))
+            (LATE_PRIORITY, ask.deadline.saturating_sub(estimate))
         };
         Job {
             tasks: vec![task; ask.tasks as usize],
--- a/src/decide/besteffort/learn.rs
+++ b/src/decide/besteffort/learn.rs
@@ -13,7 +13,7 @@
 
 /// What was learned.
 #[derive(Debug)]
-pub struct Learned {
+pub struct RunTimes {
     policy: policy::Learning,
     /// Mean logarithm of the run time in seconds, and how many were seen.
     classes: HashMap<CompactString, (f64, u32)>,
@@ -23,10 +23,10 @@
     median: f64,
 }
 
-impl Learned {
+impl RunTimes {
     /// Opens what nothing has taught yet.
-    pub fn open(policy: policy::Learning) -> Learned {
-        Learned {
+    pub fn open(policy: policy::Learning) -> RunTimes {
+        RunTimes {
             policy,
             classes: HashMap::new(),
             agents: HashMap::new(),
--- a/src/decide/besteffort/lease.rs
+++ b/src/decide/besteffort/lease.rs
@@ -19,16 +19,16 @@
 pub const LEASE: time::Duration = time::Duration::from_millis(650);
 
 /// How much slower than true time a backend server's clock may run: 2%.
-pub const SLOW_CLOCK: f64 = 1.02;
+pub const SLOW_CLOCK_FACTOR: f64 = 1.02;
 
 /// Longest lease that a backend server takes; a longer one is shortened to it.
 pub const LONGEST_LEASE: time::Duration = time::Duration::from_millis(1_000);
 
 /// Longest that a backend server takes to stop a run.
-pub const STOP: time::Duration = time::Duration::from_millis(50);
+pub const MAX_STOP_TIME: time::Duration = time::Duration::from_millis(50);
 
 /// What the agent and the network add to the bounds above.
-pub const SLACK: time::Duration = time::Duration::from_millis(60);
+pub const DELAY_MARGIN: time::Duration = time::Duration::from_millis(60);
 
 /// How often each side of a link says that it lives, where nothing else was sent.
 pub const HEARTBEAT: time::Duration = time::Duration::from_millis(120);
@@ -86,12 +86,12 @@
 
     /// Longest that a backend server goes on after the agent's last word to it.
     pub fn lapse(&self) -> time::Duration {
-        self.lease.mul_f64(SLOW_CLOCK) + STOP
+        self.lease.mul_f64(SLOW_CLOCK_FACTOR) + MAX_STOP_TIME
     }
 
     /// Longest that a run goes on after the entry's last word that reached its agent.
     pub fn abandoned(&self) -> time::Duration {
-        self.silence + self.lapse() + SLACK
+        self.silence + self.lapse() + DELAY_MARGIN
     }
 }
 
@@ -129,7 +129,7 @@
     /// The lease on the next life under the same id. An order or renewal for the life before may have reached
     /// it: one that ends on the other clock, shortened to the longest that there is.
     pub fn next_life(&self) -> Lease {
-        let may_be_longer = self.bounds.longest.mul_f64(SLOW_CLOCK) + SLACK;
+        let may_be_longer = self.bounds.longest.mul_f64(SLOW_CLOCK_FACTOR) + DELAY_MARGIN;
         Lease {
             granted: (self.granted + may_be_longer).saturating_sub(self.bounds.lease),
             ..Lease::open(self.bounds)
--- a/src/decide/besteffort/message.rs
+++ b/src/decide/besteffort/message.rs
@@ -13,7 +13,7 @@
 use crate::id;
 
 /// Longest line that is read, in bytes: a hundred starts with inputs of four kilobytes each.
-pub const MAX_LINE: usize = 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 
 /// Names a job; chosen by its caller.
 pub type JobId = CompactString;
@@ -141,14 +141,15 @@
     /// The agent.
     pub agent: id::AgentId,
     /// Which life of it.
-    pub life: id::Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: id::Incarnation,
     /// Its failure domain.
     pub failure_domain: CompactString,
     /// Runs of this entry that wait, run or are being stopped. What the entry started on an earlier
     /// link and isn't here nor in `ended` never runs.
     pub runs: Vec<Run>,
     /// Latest ends of this entry's runs; they may have been lost on an earlier link.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<RunEnd>,
 }
 
 /// One life of a backend server.
@@ -158,7 +159,7 @@
 /// the same or not, and never earlier or later: the time of day that they read at their start may have
 /// been set back in between.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct ServerLife {
+pub struct ServerIncarnation {
     /// What the backend server is called; empty where none has announced itself.
     #[serde(rename = "instance")]
     pub id: CompactString,
@@ -167,10 +168,10 @@
     pub born_ms: Option<u64>,
 }
 
-impl ServerLife {
+impl ServerIncarnation {
     /// The life with an id of its own.
-    pub fn named(id: impl Into<CompactString>) -> ServerLife {
-        ServerLife {
+    pub fn with_id(id: impl Into<CompactString>) -> ServerIncarnation {
+        ServerIncarnation {
             id: id.into(),
             born_ms: None,
         }
@@ -191,7 +192,7 @@
 pub struct Backend {
     /// Which life of it.
     #[serde(flatten)]
-    pub life: ServerLife,
+    pub incarnation: ServerIncarnation,
     /// The service that it belongs to.
     pub service: CompactString,
     /// Its kind, rack and whatever else tasks may ask for.
@@ -205,7 +206,7 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum RunOutcome {
     /// It was done.
     Done,
     /// It failed, through its own fault or the backend server's.
@@ -218,26 +219,27 @@
     Rejected,
 }
 
-impl How {
+impl RunOutcome {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            How::Done => "done",
-            How::Failed => "failed",
-            How::Gone => "gone",
-            How::NotRun => "not_run",
-            How::Rejected => "rejected",
+            RunOutcome::Done => "done",
+            RunOutcome::Failed => "failed",
+            RunOutcome::Gone => "gone",
+            RunOutcome::NotRun => "not_run",
+            RunOutcome::Rejected => "rejected",
         }
     }
 }
 
 /// The end of one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Ended {
+pub struct RunEnd {
     /// The run.
     pub run: Run,
     /// How it ended.
-    pub how: How,
+    #[serde(rename = "how")]
+    pub outcome: RunOutcome,
     /// For how long it ran, in milliseconds.
     #[serde(default)]
     pub took_ms: u64,
@@ -256,11 +258,12 @@
 
 /// A line of an agent.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct FromAgent {
+pub struct AgentMessage {
     /// The agent's clock, in milliseconds since its machine started, suspensions included.
     pub now_ms: u64,
     /// Starts of this link that have been read.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub starts_read: u64,
     /// Room that nobody uses or waits for, and that isn't kept for another entry.
     pub free: Room,
     /// The part of it that is kept for this entry for a moment. The entry's next line either uses it or
@@ -280,7 +283,7 @@
     pub crashes: Vec<Crash>,
     /// Runs that have ended.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub ended: Vec<Ended>,
+    pub ended: Vec<RunEnd>,
     /// How far the entry's runs are.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub progress: Vec<Progress>,
@@ -319,7 +322,7 @@
 
 /// Work that waits at an entry for room: its most urgent task, and how many tasks there are.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Wants {
+pub struct WaitingWork {
     /// Urgency of its class; 0 goes first.
     pub priority: u32,
     /// Within a priority, smaller goes first: the latest start that meets the target, on the agent's
@@ -333,23 +336,24 @@
 
 /// A line of an entry.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct FromEntry {
+pub struct EntryMessage {
     /// The agent's clock as last heard on this link.
     pub seen_ms: u64,
     /// Which entry speaks, and which life of it; on the first line only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub entry: Option<EntryName>,
+    pub entry: Option<EntryIncarnation>,
     /// Counts the links that the entry has opened; on the first line only. Of two links of one entry the later one
     /// holds.
     #[serde(default, skip_serializing_if = "is_none")]
     pub link: u64,
     /// What waits at the entry for room, if anything does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub wants: Option<Wants>,
+    #[serde(rename = "wants")]
+    pub waiting: Option<WaitingWork>,
     /// Whether the agent's failure domain is evacuated; on a link's first line after the agent has said
     /// who it is, and when it changes. It holds for the starts of the same line already.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub evacuation: Option<evacuation::Word>,
+    pub evacuation: Option<evacuation::DomainState>,
     /// Runs to start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub starts: Vec<Start>,
@@ -360,9 +364,10 @@
 
 /// One life of an entry.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct EntryName {
+pub struct EntryIncarnation {
     /// The entry.
     pub entry: id::EntryId,
     /// Which life of it.
-    pub life: id::Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: id::Incarnation,
 }
--- a/src/decide/besteffort/patience.rs
+++ b/src/decide/besteffort/patience.rs
@@ -18,12 +18,12 @@
 
 /// How callers of each class wait.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct EarlierWaits {
     /// Share of jobs whose callers waited shorter than the class's time.
     short: HashMap<CompactString, f64>,
 }
 
-impl Patience {
+impl EarlierWaits {
     /// How long the caller of a job has waited before, given by how much its wait falls short of the class's
     /// time.
     pub fn waited(&mut self, class: &CompactString, short_by: time::Duration) -> time::Duration {
--- a/src/decide/besteffort/policy.rs
+++ b/src/decide/besteffort/policy.rs
@@ -15,9 +15,9 @@
     /// The choice of an agent for a task.
     pub placement: Placement,
     /// Moving runs off slow and standing workers.
-    pub rescue: Rescue,
+    pub rescue: Relocation,
     /// Leaving failing workers alone.
-    pub bar: Bar,
+    pub bar: Barring,
     /// What run times teach.
     pub learning: Learning,
     /// Which agents an entry links to.
@@ -62,7 +62,7 @@
 
 /// When a run is stopped to begin elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rescue {
+pub struct Relocation {
     /// What a move costs: the stop, and two exchanges.
     pub cost: time::Duration,
     /// How many times sooner the end elsewhere has to be: estimates scatter, and a move throws the work done so
@@ -82,7 +82,7 @@
 
 /// When an agent whose worker fails gets no work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bar {
+pub struct Barring {
     /// Weight of past failures, each counted as 1, after which an agent is barred and then gets one task
     /// at a time. A second failure within two tasks of the first reaches it.
     pub failing: f64,
@@ -162,7 +162,7 @@
                 kept: 0.1,
                 look_ahead: 4,
             },
-            rescue: Rescue {
+            rescue: Relocation {
                 cost: time::Duration::from_millis(80),
                 gain: 1.6,
                 standstill: time::Duration::from_millis(350),
@@ -171,7 +171,7 @@
                 young: time::Duration::from_millis(60),
                 slow: 1.8,
             },
-            bar: Bar {
+            bar: Barring {
                 failing: 1.4,
                 forgives: 0.7,
                 sound: 0.5,
--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::time;
 
-use crate::decide::besteffort::crashes::{is_suspect, PROBATION, REMEMBERED};
+use crate::decide::besteffort::crashes::{is_suspect, PROBATION, REMEMBERED_FOR};
 use crate::decide::besteffort::message::{Crash, Run, Start, TaskName};
 use crate::decide::besteffort::slots::{Held, Recipient, Slots, State};
 
@@ -145,7 +145,7 @@
         };
         if !self.is_blamed() {
             self.counts.crashes += 1;
-            log::warn!(instance = self.backend.life.id.as_str(), born_ms = self.backend.life.born_ms,
+            log::warn!(instance = self.backend.incarnation.id.as_str(), born_ms = self.backend.incarnation.born_ms,
                 proven = crash.proven.len(), likely = crash.likely.len(), possible = crash.possible.len(),
                 first = first.to_string().as_str(); "backend server has crashed");
         }
@@ -178,7 +178,7 @@
         let known = &mut self.crashes.known;
         while known
             .front()
-            .is_some_and(|(at, _)| now.saturating_sub(*at) > REMEMBERED)
+            .is_some_and(|(at, _)| now.saturating_sub(*at) > REMEMBERED_FOR)
         {
             known.pop_front();
         }
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -4,12 +4,14 @@
 
 use compact_str::CompactString;
 
-use crate::decide::besteffort::message::{EntryName, FromAgent, Hello, How, Progress, Run, Start};
+use crate::decide::besteffort::message::{
+    AgentMessage, EntryIncarnation, Hello, Progress, Run, RunOutcome, Start,
+};
 use crate::decide::besteffort::slots::{millis, Entry, Held, Slots, State};
 
 impl Slots {
     /// An entry has connected; returns what it should know first.
-    pub fn entry_up(&mut self, now: time::Duration, name: &EntryName) -> Hello {
+    pub fn entry_up(&mut self, now: time::Duration, name: &EntryIncarnation) -> Hello {
         let entry = self.entries.entry(name.clone()).or_default();
         entry.ended.clear();
         entry.wants = None;
@@ -23,13 +25,13 @@
             runs: runs.map(|(run, _)| run.clone()).collect(),
             ended,
             agent: CompactString::default(),
-            life: 0,
+            incarnation: 0,
             failure_domain: CompactString::default(),
         }
     }
 
     /// An entry has repeated our clock. Whether the word is fresh enough to act on.
-    pub fn heard(&mut self, now: time::Duration, name: &EntryName, seen_ms: u64) -> bool {
+    pub fn heard(&mut self, now: time::Duration, name: &EntryIncarnation, seen_ms: u64) -> bool {
         let until = millis(seen_ms) + self.bounds.silence;
         if let Some(entry) = self.entries.get_mut(name) {
             entry.alive_until = entry.alive_until.max(until);
@@ -39,7 +41,13 @@
     }
 
     /// An entry wants a run.
-    pub fn start(&mut self, now: time::Duration, name: &EntryName, fresh: bool, start: Start) {
+    pub fn start(
+        &mut self,
+        now: time::Duration,
+        name: &EntryIncarnation,
+        fresh: bool,
+        start: Start,
+    ) {
         if self.held.contains_key(&start.run) {
             return;
         }
@@ -59,17 +67,17 @@
         self.waiting.insert(held.rank());
         self.held.insert(run.clone(), held);
         if !self.backend.size.fits(&need) {
-            self.end(now, &run, How::NotRun);
+            self.end(now, &run, RunOutcome::NotRun);
         } else if !fresh {
             log::warn!(job = run.job.as_str(), task = run.task, run = run.number, entry = name.entry.as_str();
                 "start came too late to act on");
-            self.end(now, &run, How::NotRun);
+            self.end(now, &run, RunOutcome::NotRun);
         }
         self.pump(now);
     }
 
     /// An entry doesn't want a run any more.
-    pub fn withdraw(&mut self, now: time::Duration, name: &EntryName, run: &Run) {
+    pub fn withdraw(&mut self, now: time::Duration, name: &EntryIncarnation, run: &Run) {
         if self.held.get(run).is_some_and(|held| held.entry == *name) {
             self.unwant(now, run);
             self.pump(now);
@@ -77,13 +85,13 @@
     }
 
     /// What an entry should hear now: ends, and the progress of its runs.
-    pub fn line(&mut self, name: &EntryName, now: time::Duration) -> FromAgent {
+    pub fn line(&mut self, name: &EntryIncarnation, now: time::Duration) -> AgentMessage {
         let now_ms = now.as_millis() as u64;
-        let mut line = FromAgent {
+        let mut line = AgentMessage {
             now_ms,
             free: self.free().minus(&self.lent(Some(name))),
             sharers: self.sharers(now, name),
-            ..FromAgent::default()
+            ..AgentMessage::default()
         };
         if let Some(entry) = self.entries.get_mut(name) {
             line.ended = std::mem::take(&mut entry.ended);
@@ -107,14 +115,14 @@
 
     /// Entries that compete for the room: this one, and the others with work waiting. Those with nothing
     /// waiting leave their part to the others.
-    fn sharers(&self, now: time::Duration, name: &EntryName) -> u32 {
+    fn sharers(&self, now: time::Duration, name: &EntryIncarnation) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != name);
         let waiting = others.filter(|(_, e)| now < e.alive_until && e.wants.is_some());
         1 + waiting.count() as u32
     }
 
     /// Whether an entry has something to hear before the next heartbeat.
-    pub fn has_news(&self, name: &EntryName) -> bool {
+    pub fn has_news(&self, name: &EntryIncarnation) -> bool {
         let entry = self.entries.get(name);
         let untold = |e: &Entry| e.loan.is_some_and(|loan| loan.told_ms.is_none());
         entry.is_some_and(|e| !e.ended.is_empty() || !e.crashes.is_empty() || untold(e))
--- a/src/decide/besteffort/slots/held.rs
+++ b/src/decide/besteffort/slots/held.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use crate::decide::besteffort::message::{EntryName, Run, Start};
+use crate::decide::besteffort::message::{EntryIncarnation, Run, Start};
 
 /// How far a run is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Held {
     pub(super) start: Start,
-    pub(super) entry: EntryName,
+    pub(super) entry: EntryIncarnation,
     pub(super) state: State,
     /// Since when it waits or runs.
     pub(super) since: time::Duration,
--- a/src/decide/besteffort/slots/lend.rs
+++ b/src/decide/besteffort/slots/lend.rs
@@ -7,7 +7,7 @@
 
 use std::time;
 
-use crate::decide::besteffort::message::{EntryName, Room, Wants};
+use crate::decide::besteffort::message::{EntryIncarnation, Room, WaitingWork};
 use crate::decide::besteffort::slots::Slots;
 
 /// How long room is kept for an entry that was told of it: an exchange between failure domains (2 ms),
@@ -31,9 +31,9 @@
     pub fn waits(
         &mut self,
         now: time::Duration,
-        name: &EntryName,
+        name: &EntryIncarnation,
         seen_ms: u64,
-        wants: Option<Wants>,
+        wants: Option<WaitingWork>,
     ) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
@@ -47,7 +47,7 @@
     }
 
     /// A start has come: the room that was kept for it isn't kept any more.
-    pub(super) fn redeem(&mut self, name: &EntryName, need: &Room) {
+    pub(super) fn redeem(&mut self, name: &EntryIncarnation, need: &Room) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
@@ -61,7 +61,7 @@
     }
 
     /// Room that is kept for entries, but for one.
-    pub(super) fn lent(&self, but: Option<&EntryName>) -> Room {
+    pub(super) fn lent(&self, but: Option<&EntryIncarnation>) -> Room {
         let others = self.entries.iter().filter(|(name, _)| Some(*name) != but);
         let loans = others.filter_map(|(_, entry)| entry.loan);
         loans.fold(Room::default(), |sum, loan| sum.plus(&loan.room))
--- a/src/decide/besteffort/slots/lives.rs
+++ b/src/decide/besteffort/slots/lives.rs
@@ -9,12 +9,12 @@
 //! The next life may have the id of the one before, with its heartbeats numbered anew. Were they compared
 //! with those of the life before, its leave would be acknowledged and passed over as late, and work would
 //! still be sent to it. So numbers are compared within one life only, and a life is its id and its start
-//! ([`ServerLife`]).
+//! ([`ServerIncarnation`]).
 
 use std::time;
 
 use crate::decide::besteffort::lease::Lease;
-use crate::decide::besteffort::message::{Backend, Heartbeat, How, Run, ServerLife};
+use crate::decide::besteffort::message::{Backend, Heartbeat, Run, RunOutcome, ServerIncarnation};
 use crate::decide::besteffort::slots::{
     Listing, PassedOver, Recipient, Slots, State, ANOTHER_LIFE,
 };
@@ -32,8 +32,8 @@
 }
 
 impl Candidate {
-    fn life(&self) -> &ServerLife {
-        &self.newest.backend.life
+    fn life(&self) -> &ServerIncarnation {
+        &self.newest.backend.incarnation
     }
 }
 
@@ -61,17 +61,17 @@
     /// Takes in what the backend server says of itself. A life that isn't known has to be checked
     /// first; a life that is known to be dead is passed over.
     pub fn announced(&mut self, now: time::Duration, heartbeat: Heartbeat) -> Option<Check> {
-        if self.past.contains(&heartbeat.backend.life) {
+        if self.past.contains(&heartbeat.backend.incarnation) {
             self.late_heartbeat(&heartbeat);
             return None;
         }
-        if heartbeat.backend.life == self.backend.life {
+        if heartbeat.backend.incarnation == self.backend.incarnation {
             self.heartbeat(now, heartbeat);
             return None;
         }
         self.checks += 1;
         let check = self.checks;
-        let life = heartbeat.backend.life.clone();
+        let life = heartbeat.backend.incarnation.clone();
         match self.candidates.iter_mut().find(|c| *c.life() == life) {
             Some(known) if heartbeat.number < known.newest.number => {
                 self.late_heartbeat(&heartbeat);
@@ -105,7 +105,7 @@
     fn heartbeat(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         if heartbeat.backend.service != self.backend.service {
             // A life stays with its service; this is another writer's word.
-            log::warn!(instance = heartbeat.backend.life.id.as_str(), service = heartbeat.backend.service.as_str();
+            log::warn!(instance = heartbeat.backend.incarnation.id.as_str(), service = heartbeat.backend.service.as_str();
                 "known life is said to be of another service");
         } else if heartbeat.number < self.last_heartbeat {
             self.late_heartbeat(&heartbeat);
@@ -116,7 +116,7 @@
     }
 
     fn late_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        let life = &heartbeat.backend.life;
+        let life = &heartbeat.backend.incarnation;
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, seq = heartbeat.number,
             takes_work = heartbeat.backend.takes_work; "heartbeat is older than one heard");
         self.passed_over(PassedOver::Heartbeat);
@@ -141,7 +141,7 @@
                 let Some(candidate) = self.candidates.remove(at) else {
                     return false;
                 };
-                let keeps_id = life.id == self.backend.life.id;
+                let keeps_id = life.id == self.backend.incarnation.id;
                 self.take_up(now, candidate.newest);
                 if !keeps_id {
                     self.listed(now, sent, listing);
@@ -150,14 +150,14 @@
             }
             Checked::There(_) | Checked::AnotherLife => {
                 log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
-                    known = self.backend.life.id.as_str(); "late word of a dead life");
+                    known = self.backend.incarnation.id.as_str(); "late word of a dead life");
                 self.candidates.remove(at);
                 self.past.insert(life.clone());
                 false
             }
             Checked::Silent => {
                 log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
-                    known = self.backend.life.id.as_str(); "life of the backend server can't be checked");
+                    known = self.backend.incarnation.id.as_str(); "life of the backend server can't be checked");
                 self.candidates[at].check = None;
                 false
             }
@@ -167,16 +167,19 @@
     /// Another life has answered under the id of the known one, which is dead then. Where the new one hasn't
     /// announced itself yet, nobody knows its room, and it gets nothing new until it does.
     pub(super) fn came_back(&mut self, now: time::Duration, born_ms: Option<u64>) {
-        let life = ServerLife {
+        let incarnation = ServerIncarnation {
             born_ms,
-            ..self.backend.life.clone()
+            ..self.backend.incarnation.clone()
         };
-        let at = self.candidates.iter().position(|c| *c.life() == life);
+        let at = self
+            .candidates
+            .iter()
+            .position(|c| *c.life() == incarnation);
         let said = at.and_then(|at| self.candidates.remove(at));
         let heartbeat = said.map_or_else(
             || Heartbeat {
                 backend: Backend {
-                    life,
+                    incarnation,
                     takes_work: false,
                     ..self.backend.clone()
                 },
@@ -189,16 +192,16 @@
 
     /// The first sure sign of another life: what the one before ran has ended with it.
     fn take_up(&mut self, now: time::Duration, heartbeat: Heartbeat) {
-        let life = &heartbeat.backend.life;
-        if !self.backend.life.id.is_empty() {
-            self.past.insert(self.backend.life.clone());
+        let life = &heartbeat.backend.incarnation;
+        if !self.backend.incarnation.id.is_empty() {
+            self.past.insert(self.backend.incarnation.clone());
         }
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
-            before = self.backend.life.id.as_str(), held = self.held.len(); "backend server has a new life");
+            before = self.backend.incarnation.id.as_str(), held = self.held.len(); "backend server has a new life");
         self.life_ended(now);
         self.counts.lives += 1;
         // What is known of the clock and the lease is of the life before.
-        if life.id == self.backend.life.id {
+        if life.id == self.backend.incarnation.id {
             self.lease = self.lease.next_life();
             self.inherit();
         } else {
@@ -209,7 +212,7 @@
         // asked for again with the next word. Forgotten, a leave that was acknowledged would be undone by a
         // late heartbeat from before it.
         self.candidates
-            .retain(|known| *known.life() != heartbeat.backend.life);
+            .retain(|known| *known.life() != heartbeat.backend.incarnation);
         for known in &mut self.candidates {
             known.check = None;
         }
@@ -230,13 +233,13 @@
 
     fn update(&mut self, now: time::Duration, backend: Backend) {
         if backend.takes_work != self.backend.takes_work {
-            log::info!(instance = backend.life.id.as_str(), born_ms = backend.life.born_ms,
+            log::info!(instance = backend.incarnation.id.as_str(), born_ms = backend.incarnation.born_ms,
                 takes_work = backend.takes_work;
                 "backend server changed its mind about new work");
         }
         let shrunk = !backend.size.fits(&self.backend.size);
         if backend.size != self.backend.size {
-            log::info!(instance = backend.life.id.as_str(), cpu = backend.size.cpu, memory_mb = backend.size.memory_mb,
+            log::info!(instance = backend.incarnation.id.as_str(), cpu = backend.size.cpu, memory_mb = backend.size.memory_mb,
                 accelerators = backend.size.accelerators, used_cpu = self.used.cpu; "backend server's room changed");
         }
         self.backend = backend;
@@ -260,18 +263,18 @@
         };
         let crowded: Vec<Run> = waiting.filter(|run| !fits(run)).cloned().collect();
         for run in crowded {
-            self.end(now, &run, How::NotRun);
+            self.end(now, &run, RunOutcome::NotRun);
         }
     }
 
     /// The backend server says that it leaves now. What it has may run on for a moment, so that its
     /// ends are still waited for. Where it doesn't say when its life began, this may be the late word of an
     /// earlier life under the same id: the next heartbeat of the living one sets that right.
-    pub fn left(&mut self, now: time::Duration, life: &ServerLife) {
-        let is_meant = |known: &ServerLife| {
+    pub fn left(&mut self, now: time::Duration, life: &ServerIncarnation) {
+        let is_meant = |known: &ServerIncarnation| {
             known.id == life.id && (life.born_ms.is_none() || known.born_ms == life.born_ms)
         };
-        let known = is_meant(&self.backend.life);
+        let known = is_meant(&self.backend.incarnation);
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, known = known; "backend server has left");
         if known {
             self.backend.takes_work = false;
@@ -288,6 +291,6 @@
 }
 
 /// Whether a listing may be of a life; before any is known it is of whichever answers.
-pub(super) fn is_of(listing: &Listing, life: &ServerLife) -> bool {
+pub(super) fn is_of(listing: &Listing, life: &ServerIncarnation) -> bool {
     life.id.is_empty() || listing.born_ms.is_none() || listing.born_ms == life.born_ms
 }
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -20,7 +20,7 @@
 use crate::decide::besteffort::evacuation;
 use crate::decide::besteffort::lease::{Bounds, Lease};
 use crate::decide::besteffort::message::{
-    Backend, Crash, Ended, EntryName, How, Room, Run, ServerLife, Wants,
+    Backend, Crash, EntryIncarnation, Room, Run, RunEnd, RunOutcome, ServerIncarnation, WaitingWork,
 };
 
 pub use counts::{Counts, PassedOver};
@@ -52,12 +52,12 @@
 struct Entry {
     alive_until: time::Duration,
     heard: time::Duration,
-    ended: Vec<Ended>,
-    kept: VecDeque<Ended>,
+    ended: Vec<RunEnd>,
+    kept: VecDeque<RunEnd>,
     /// Crashes that it hasn't been told of.
     crashes: Vec<Crash>,
     /// What waits there.
-    wants: Option<Wants>,
+    wants: Option<WaitingWork>,
     /// Room that is kept for it.
     loan: Option<lend::Loan>,
 }
@@ -77,7 +77,7 @@
     candidates: VecDeque<lives::Candidate>,
     checks: u64,
     /// Lives that are dead.
-    past: HashSet<ServerLife>,
+    past: HashSet<ServerIncarnation>,
     /// The number of the newest heartbeat of the known life.
     last_heartbeat: u64,
     /// Runs that were with the life before under the same id, until the known one has listed what it has.
@@ -85,7 +85,7 @@
     held: BTreeMap<Run, Held>,
     waiting: BTreeSet<(u32, u64, Run)>,
     used: Room,
-    entries: BTreeMap<EntryName, Entry>,
+    entries: BTreeMap<EntryIncarnation, Entry>,
     orders: Vec<Order>,
     /// When runs that nobody here asked for were told to stop.
     alien_stops: BTreeMap<Run, time::Duration>,
@@ -95,7 +95,7 @@
     /// Whether a suspect keeps others from beginning.
     reserved: bool,
     /// The newest word on whether the agent's failure domain is evacuated.
-    evacuation: evacuation::Word,
+    evacuation: evacuation::DomainState,
     /// Whether the backend server was heard lately, and nothing lengthens its lease beyond what the agent
     /// asks for.
     reached: bool,
@@ -131,21 +131,21 @@
             crashes: crashes::Crashes::default(),
             isolation: Isolation::default(),
             reserved: false,
-            evacuation: evacuation::Word::default(),
+            evacuation: evacuation::DomainState::default(),
             reached: false,
             counts: Counts::default(),
         }
     }
 
     /// The life of the backend server that is known.
-    pub fn life(&self) -> &ServerLife {
-        &self.backend.life
+    pub fn life(&self) -> &ServerIncarnation {
+        &self.backend.incarnation
     }
 
     /// Whom orders are meant for that are decided now.
     pub fn recipient(&self) -> Recipient {
         Recipient {
-            life: self.backend.life.clone(),
+            life: self.backend.incarnation.clone(),
             fence: self.counts.lives,
         }
     }
@@ -205,7 +205,7 @@
     /// Takes in an entry's word on whether the failure domain is evacuated: nothing new starts meanwhile,
     /// what runs goes on, and starts that wait go back to their entries at once. Returns whether that
     /// has changed.
-    pub fn evacuation(&mut self, now: time::Duration, word: evacuation::Word) -> bool {
+    pub fn evacuation(&mut self, now: time::Duration, word: evacuation::DomainState) -> bool {
         let changed = self.evacuation.update(word);
         if changed {
             log::info!(evacuated = word.evacuated, version = word.version;
@@ -250,7 +250,7 @@
             }
         }
         for run in bounced {
-            self.end(now, &run, How::NotRun);
+            self.end(now, &run, RunOutcome::NotRun);
         }
         for run in unwanted {
             self.unwant(now, &run);
@@ -283,7 +283,7 @@
             return;
         };
         if held.state == State::Waiting {
-            self.end(now, run, How::NotRun);
+            self.end(now, run, RunOutcome::NotRun);
             return;
         }
         held.unwanted.get_or_insert(now);
@@ -307,7 +307,7 @@
         self.orders.push(Order::Stop { to, run });
     }
 
-    fn end(&mut self, now: time::Duration, run: &Run, how: How) {
+    fn end(&mut self, now: time::Duration, run: &Run, outcome: RunOutcome) {
         let Some(held) = self.held.remove(run) else {
             return;
         };
@@ -318,10 +318,10 @@
         }
         let entry = self.entries.entry(held.entry).or_default();
         let took = now.saturating_sub(held.since);
-        self.counts.ended.observe(&[("how", how.name())], took);
-        let ended = Ended {
+        self.counts.ended.observe(&[("how", outcome.name())], took);
+        let ended = RunEnd {
             run: run.clone(),
-            how,
+            outcome,
             took_ms: took.as_millis() as u64,
         };
         entry.ended.push(ended.clone());
@@ -336,7 +336,7 @@
         if !self.takes_work() {
             let all: Vec<Run> = self.waiting.iter().map(|(.., run)| run.clone()).collect();
             for run in all {
-                self.end(now, &run, How::NotRun);
+                self.end(now, &run, RunOutcome::NotRun);
             }
             return;
         }
@@ -346,7 +346,7 @@
             self.start_if_fits(now, &run);
         }
         for run in self.crowded_suspects(now) {
-            self.end(now, &run, How::NotRun);
+            self.end(now, &run, RunOutcome::NotRun);
         }
         self.reserved = self.is_reserved(now);
         self.lend(now);
--- a/src/decide/besteffort/slots/order.rs
+++ b/src/decide/besteffort/slots/order.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 
-use crate::decide::besteffort::message::{How, Run, ServerLife};
+use crate::decide::besteffort::message::{Run, RunOutcome, ServerIncarnation};
 
 /// Whom an order or a question is meant for.
 ///
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recipient {
     /// The life that is meant; any where its id is empty.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Lives that the agent had taken up when this was decided.
     pub fence: u64,
 }
@@ -77,7 +77,7 @@
     /// Runs at work, with hundredths done.
     pub running: Vec<(Run, u8)>,
     /// Ends that were not acknowledged before.
-    pub ended: Vec<(Run, How)>,
+    pub ended: Vec<(Run, RunOutcome)>,
     /// The number of the last of them; 0 where there is none.
     pub last_end: u64,
 }
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use crate::decide::besteffort::lease;
-use crate::decide::besteffort::message::{How, Run};
+use crate::decide::besteffort::message::{Run, RunOutcome};
 use crate::decide::besteffort::slots::lives::is_of;
 use crate::decide::besteffort::slots::{
     millis, Held, Listing, PassedOver, Slots, StartAnswer, State, STOP_AGAIN,
@@ -25,7 +25,7 @@
         }
         for run in gone {
             self.remember_lost(now, &run);
-            self.end(now, &run, How::Gone);
+            self.end(now, &run, RunOutcome::Gone);
         }
     }
 
@@ -36,11 +36,11 @@
     /// its own, and a lease reckoned on that of a life which has crashed may last for minutes on that
     /// of the next.
     pub fn renew(&mut self, now: time::Duration) -> Option<u64> {
-        if self.backend.life.id.is_empty() {
+        if self.backend.incarnation.id.is_empty() {
             return None;
         }
         let open = |held: &Held| !matches!(held.state, State::Waiting | State::Closing);
-        let overdue = |held: &Held| now > self.must_end(held) + lease::SLACK;
+        let overdue = |held: &Held| now > self.must_end(held) + lease::DELAY_MARGIN;
         if self.held.values().any(|held| open(held) && overdue(held)) {
             return None;
         }
@@ -79,7 +79,7 @@
             return;
         }
         self.reached = reached;
-        log::info!(instance = self.backend.life.id.as_str(), born_ms = self.backend.life.born_ms, reached = reached;
+        log::info!(instance = self.backend.incarnation.id.as_str(), born_ms = self.backend.incarnation.born_ms, reached = reached;
             "backend server's reach changed");
         self.pump(now);
     }
@@ -102,8 +102,8 @@
                 }
                 self.may_have_begun(now);
             }
-            StartAnswer::Refused => self.end(now, run, How::NotRun),
-            StartAnswer::Unwell => self.end(now, run, How::Rejected),
+            StartAnswer::Refused => self.end(now, run, RunOutcome::NotRun),
+            StartAnswer::Unwell => self.end(now, run, RunOutcome::Rejected),
             StartAnswer::Unknown => {
                 held.state = State::Unsure;
                 held.unwanted.get_or_insert(now);
@@ -138,7 +138,7 @@
     /// one was asked without the new life's fence, so that an order which was decided for the life before
     /// may still be carried out after it.
     pub fn listed(&mut self, now: time::Duration, sent: time::Duration, listing: Listing) {
-        if !is_of(&listing, &self.backend.life) {
+        if !is_of(&listing, &self.backend.incarnation) {
             self.came_back(now, listing.born_ms);
             return;
         }
@@ -183,7 +183,7 @@
         // No order for the life before is carried out any more; what isn't here never will be.
         for run in std::mem::take(&mut self.inherited) {
             if !running.contains(&run) {
-                self.end(now, &run, How::Gone);
+                self.end(now, &run, RunOutcome::Gone);
             }
         }
         let missing = |held: &Held| match held.state {
@@ -195,7 +195,7 @@
         let gone = gone.filter(|(run, held)| missing(held) && !running.contains(run));
         let gone: Vec<Run> = gone.map(|(run, _)| run.clone()).collect();
         for run in gone {
-            self.end(now, &run, How::Gone);
+            self.end(now, &run, RunOutcome::Gone);
         }
         self.pump(now);
     }
--- a/src/decide/besteffort/subset.rs
+++ b/src/decide/besteffort/subset.rs
@@ -24,7 +24,7 @@
 
 /// What is listed of an agent, for entries that have no link to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Member {
+pub struct ListedAgent {
     /// Its name.
     pub agent: id::AgentId,
     /// Where it takes links.
@@ -41,7 +41,7 @@
 
 /// What an entry does about its links.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Change {
+pub enum LinkChange {
     /// Keep a link to an agent.
     Open(id::AgentId, SocketAddr),
     /// Close it and don't open it again.
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 struct Known {
-    member: Member,
+    member: ListedAgent,
     state: State,
     /// When it was last of use beyond the base; none for the others.
     extra: Option<time::Duration>,
@@ -96,7 +96,7 @@
     }
 
     /// Takes in what is listed of an agent. One with another address is linked anew.
-    pub fn list(&mut self, member: Member) -> Option<Change> {
+    pub fn list(&mut self, member: ListedAgent) -> Option<LinkChange> {
         let name = member.agent.clone();
         let old = self.known.get(&name).map(|known| {
             let moved = known.member.addr != member.addr && known.state != State::Apart;
@@ -111,12 +111,12 @@
         };
         self.known.insert(name.clone(), known);
         self.is_stale |= !stays;
-        moved.then_some(Change::Close(name))
+        moved.then_some(LinkChange::Close(name))
     }
 
     /// Takes in that an agent isn't listed any more. A link that is up proves more than a list: whoever took the row
     /// away may have been cut off from the agent, and what runs there would be lost with the link.
-    pub fn unlist(&mut self, agent: &str) -> Option<Change> {
+    pub fn unlist(&mut self, agent: &str) -> Option<LinkChange> {
         let known = self.known.get(agent)?;
         if known.state == State::Up {
             return None;
@@ -124,7 +124,7 @@
         let is_wanted = known.state != State::Apart;
         self.known.remove(agent);
         self.is_stale = true;
-        is_wanted.then(|| Change::Close(agent.into()))
+        is_wanted.then(|| LinkChange::Close(agent.into()))
     }
 
     /// The link to an agent is up.
@@ -199,8 +199,8 @@
         &mut self,
         now: time::Duration,
         most: usize,
-        suits: impl Fn(&Member) -> bool,
-    ) -> (Vec<id::AgentId>, Vec<Change>) {
+        suits: impl Fn(&ListedAgent) -> bool,
+    ) -> (Vec<id::AgentId>, Vec<LinkChange>) {
         self.reckon_order();
         let spare = self.spare();
         let (mut opening, mut changes) = (Vec::new(), Vec::new());
@@ -220,7 +220,7 @@
                     known.state = State::Opening;
                     known.extra = Some(now);
                     opening.push(name.clone());
-                    changes.push(Change::Open(name.clone(), known.member.addr));
+                    changes.push(LinkChange::Open(name.clone(), known.member.addr));
                 }
                 State::Apart | State::Missing(_) | State::Up => {}
             }
@@ -235,7 +235,7 @@
         &mut self,
         now: time::Duration,
         is_used: impl Fn(&id::AgentId) -> bool,
-    ) -> Vec<Change> {
+    ) -> Vec<LinkChange> {
         self.reckon_order();
         let base = self.base(now);
         let mut changes = Vec::new();
@@ -244,7 +244,7 @@
                 known.extra = None;
                 if known.state == State::Apart {
                     known.state = State::Opening;
-                    changes.push(Change::Open(name.clone(), known.member.addr));
+                    changes.push(LinkChange::Open(name.clone(), known.member.addr));
                 }
                 continue;
             }
@@ -257,7 +257,7 @@
             } else if now.saturating_sub(*last) >= self.policy.linger {
                 known.extra = None;
                 known.state = State::Apart;
-                changes.push(Change::Close(name.clone()));
+                changes.push(LinkChange::Close(name.clone()));
             }
         }
         self.reckon_reach();
--- a/src/decide/besteffort/view.rs
+++ b/src/decide/besteffort/view.rs
@@ -6,16 +6,16 @@
 use compact_str::CompactString;
 
 use crate::decide::besteffort::job::LinkNo;
-use crate::decide::besteffort::message::{Backend, FromAgent, Room};
+use crate::decide::besteffort::message::{AgentMessage, Backend, Room};
 use crate::decide::besteffort::policy;
 use crate::id;
 
 /// One agent.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct AgentView {
     /// Its name.
     pub agent: id::AgentId,
-    policy: policy::Bar,
+    policy: policy::Barring,
     /// Which life of it.
     pub life: id::Incarnation,
     /// Its link; none while it is cut off.
@@ -43,15 +43,15 @@
     avoid_until: time::Duration,
 }
 
-impl View {
+impl AgentView {
     /// Opens the view of an agent that has just connected.
     pub fn open(
-        policy: policy::Bar,
+        policy: policy::Barring,
         agent: id::AgentId,
         life: id::Incarnation,
         now: time::Duration,
-    ) -> View {
-        View {
+    ) -> AgentView {
+        AgentView {
             agent,
             policy,
             life,
@@ -82,16 +82,20 @@
     }
 
     /// Takes in what the agent says of its room.
-    pub fn heard(&mut self, now: time::Duration, line: &FromAgent) {
+    pub fn heard(&mut self, now: time::Duration, line: &AgentMessage) {
         self.heard = now;
         self.free = line.free;
         self.lent = line.lent;
         self.sharers = line.sharers.max(1);
-        while self.unread.front().is_some_and(|(n, _)| *n <= line.taken) {
+        while self
+            .unread
+            .front()
+            .is_some_and(|(n, _)| *n <= line.starts_read)
+        {
             self.unread.pop_front();
         }
         if let Some(backend) = &line.backend {
-            if backend.life != self.backend.life {
+            if backend.incarnation != self.backend.incarnation {
                 self.recovered();
                 self.largest = Room::default();
             }
--- a/tests/besteffort_agent.rs
+++ b/tests/besteffort_agent.rs
@@ -6,7 +6,7 @@
 
 use lovagemill::besteffort::agent::{self, Agent, NoListing};
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{FromAgent, FromEntry, How, Run};
+use lovagemill::decide::besteffort::message::{AgentMessage, EntryMessage, Run, RunOutcome};
 use lovagemill::decide::besteffort::slots::StartAnswer;
 
 use support::besteffort::{backend, heartbeat, listed, run, Calls, FakeEntry, Running};
@@ -57,7 +57,7 @@
     let (mut entry, _) = FakeEntry::connect(agent.link_addr(), 1).await;
     agent.announced(heartbeat("life"));
     calls.answer_list("life", nothing()).await;
-    let ready = |line: &FromAgent| line.backend.clone().filter(|b| b.takes_work);
+    let ready = |line: &AgentMessage| line.backend.clone().filter(|b| b.takes_work);
     entry.until(ready).await;
     Linked {
         calls,
@@ -87,10 +87,10 @@
         agent.announced(heartbeat("new"));
         let running = Running::default();
         let listing = calls.keep_listing("new", &running);
-        let is_new = |line: &FromAgent| {
+        let is_new = |line: &AgentMessage| {
             line.backend
                 .clone()
-                .filter(|b| b.takes_work && b.life.id == "new")
+                .filter(|b| b.takes_work && b.incarnation.id == "new")
         };
         entry.until(is_new).await;
         entry.start(run("job", 0, 1)).await;
@@ -100,7 +100,7 @@
         let _ = late.send(Err(NoListing::AnotherLife));
         // Long enough for the old listing to be taken in: a line that knows the run's progress, or
         // one that gives the run up.
-        let told = |line: &FromAgent| {
+        let told = |line: &AgentMessage| {
             let known = line.progress.iter().any(|p| p.percent == 50);
             (known || !line.ended.is_empty()).then(|| line.ended.clone())
         };
@@ -108,12 +108,15 @@
         assert!(ended.is_empty(), "given up: {ended:?}");
         listing.abort();
         calls
-            .answer_list("new", Ok(listed(Vec::new(), vec![(begun, How::Done)])))
+            .answer_list(
+                "new",
+                Ok(listed(Vec::new(), vec![(begun, RunOutcome::Done)])),
+            )
             .await;
         let how = entry
-            .until(|line| line.ended.first().map(|end| end.how))
+            .until(|line| line.ended.first().map(|end| end.outcome))
             .await;
-        assert_eq!(how, How::Done);
+        assert_eq!(how, RunOutcome::Done);
     });
 }
 
@@ -134,7 +137,9 @@
             answer.send(StartAnswer::Accepted).expect("the agent waits");
         }
         entry.start(run("waits", 0, 5)).await;
-        entry.until(|line| (line.taken == 5).then_some(())).await;
+        entry
+            .until(|line| (line.starts_read == 5).then_some(()))
+            .await;
         let mut roomier = heartbeat("life");
         roomier.backend.size.cpu += 1_000;
         // Nothing that the agent has spawned runs between these two.
@@ -213,7 +218,10 @@
         entry.seen_ms = entry.seen_ms.saturating_sub(2 * PATIENT.as_millis() as u64);
         entry.start(run("late", 0, 1)).await;
         let end = entry.until(|line| line.ended.first().cloned()).await;
-        assert_eq!((end.run.job.as_str(), end.how), ("late", How::NotRun));
+        assert_eq!(
+            (end.run.job.as_str(), end.outcome),
+            ("late", RunOutcome::NotRun)
+        );
     });
 }
 
@@ -227,19 +235,19 @@
             mut entry,
             agent,
         } = linked(PATIENT).await;
-        let line = FromEntry {
+        let line = EntryMessage {
             starts: vec![
                 support::besteffort::start(run("job", 0, 1), entry.seen_ms),
                 support::besteffort::start(run("job", 1, 2), entry.seen_ms),
             ],
-            ..FromEntry::default()
+            ..EntryMessage::default()
         };
         entry.say(line).await;
         for _ in 0..2 {
             let (_, answer) = calls.start().await;
             answer.send(StartAnswer::Accepted).expect("the agent waits");
         }
-        let ends = vec![(run("job", 0, 1), How::Done)];
+        let ends = vec![(run("job", 0, 1), RunOutcome::Done)];
         let still = vec![(run("job", 1, 2), 10)];
         calls.answer_list("life", Ok(listed(still, ends))).await;
         entry.until(|line| line.ended.first().cloned()).await;
@@ -250,8 +258,12 @@
         let (_, hello) = FakeEntry::connect_again(agent.link_addr(), 1, 2).await;
         let hello = hello.hello.expect("the first line");
         assert_eq!(hello.runs, [run("job", 1, 2)]);
-        let ended: Vec<_> = hello.ended.iter().map(|end| (&end.run, end.how)).collect();
-        assert_eq!(ended, [(&run("job", 0, 1), How::Done)]);
+        let ended: Vec<_> = hello
+            .ended
+            .iter()
+            .map(|end| (&end.run, end.outcome))
+            .collect();
+        assert_eq!(ended, [(&run("job", 0, 1), RunOutcome::Done)]);
     });
 }
 
@@ -268,7 +280,10 @@
         let nothing = Ok(listed(Vec::new(), Vec::new()));
         calls.answer_list("life", nothing).await;
         support::until("the life is known", || agent.life().id == "life").await;
-        let _ = early.send(Ok(listed(Vec::new(), vec![(run("job", 0, 1), How::Done)])));
+        let _ = early.send(Ok(listed(
+            Vec::new(),
+            vec![(run("job", 0, 1), RunOutcome::Done)],
+        )));
         for _ in 0..3 {
             let (acknowledged, tx) = calls
                 .next("a listing", |call| match call {
@@ -327,13 +342,13 @@
         };
         let lost = calls.next("a waiting listing", waits).await;
         let now = calls.next("a listing at once", asks).await;
-        let ended = vec![(begun, How::Done)];
+        let ended = vec![(begun, RunOutcome::Done)];
         now.send(Ok(listed(Vec::new(), ended)))
             .expect("the agent waits");
         let how = entry
-            .until(|line| line.ended.first().map(|end| end.how))
+            .until(|line| line.ended.first().map(|end| end.outcome))
             .await;
-        assert_eq!(how, How::Done);
+        assert_eq!(how, RunOutcome::Done);
         calls.next("the next waiting listing", waits).await;
         assert!(lost.is_closed(), "the lost one was given up");
     });
--- a/tests/besteffort_board.rs
+++ b/tests/besteffort_board.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::board::{Action, Admitted, Board};
-use lovagemill::decide::besteffort::job::{JobNo, NotRun, Outcome, Submission};
+use lovagemill::decide::besteffort::board::{Action, Board, SubmitResult};
+use lovagemill::decide::besteffort::job::{JobNo, NotRunReason, Outcome, Submission};
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{
-    Backend, Ended, FromAgent, Hello, How, Progress, Room, Run, ServerLife, Start,
+    AgentMessage, Backend, Hello, Progress, Room, Run, RunEnd, RunOutcome, ServerIncarnation, Start,
 };
 use lovagemill::decide::besteffort::policy::Policy;
 
@@ -50,22 +50,22 @@
     }
 }
 
-fn hello(agent: &str, life: u64, runs: Vec<Run>) -> Hello {
+fn hello(agent: &str, incarnation: u64, runs: Vec<Run>) -> Hello {
     Hello {
         agent: agent.into(),
-        life,
+        incarnation,
         failure_domain: "domain".into(),
         runs,
         ended: Vec::new(),
     }
 }
 
-fn line(free: i64, taken: u64) -> FromAgent {
-    FromAgent {
+fn line(free: i64, starts_read: u64) -> AgentMessage {
+    AgentMessage {
         free: room(free),
-        taken,
+        starts_read,
         sharers: 1,
-        ..FromAgent::default()
+        ..AgentMessage::default()
     }
 }
 
@@ -74,7 +74,7 @@
     board.agent_up(ms(at), link, &hello(agent, 1, Vec::new()));
     let mut first = line(tasks, 0);
     first.backend = Some(Backend {
-        life: ServerLife::named(format!("server of {agent}")),
+        incarnation: ServerIncarnation::with_id(format!("server of {agent}")),
         service: "svc".into(),
         labels: vec!["rack-1".into()],
         size: room(tasks),
@@ -95,8 +95,8 @@
 
 fn submit(board: &mut Board, at: u64, ask: Submission) -> JobNo {
     match board.submit(ms(at), ask) {
-        Admitted::Job(no) => no,
-        Admitted::Answered(outcome) => panic!("answered at once: {outcome:?}"),
+        SubmitResult::Job(no) => no,
+        SubmitResult::Answered(outcome) => panic!("answered at once: {outcome:?}"),
     }
 }
 
@@ -118,11 +118,11 @@
     answers.collect()
 }
 
-fn end(board: &mut Board, at: u64, link: u64, run: &Run, how: How) {
+fn end(board: &mut Board, at: u64, link: u64, run: &Run, outcome: RunOutcome) {
     let mut line = line(4, 100);
-    line.ended.push(Ended {
+    line.ended.push(RunEnd {
         run: run.clone(),
-        how,
+        outcome,
         took_ms: 100,
     });
     board.heard(ms(at), link, &line);
@@ -136,12 +136,12 @@
     let sent = starts(&mut board);
     assert_eq!(sent.len(), 3);
     for (link, start) in &sent[..2] {
-        end(&mut board, START + 100, *link, &start.run, How::Done);
+        end(&mut board, START + 100, *link, &start.run, RunOutcome::Done);
     }
     assert_eq!(answers(&mut board), []);
     let (link, start) = &sent[2];
-    end(&mut board, START + 110, *link, &start.run, How::Done);
-    end(&mut board, START + 111, *link, &start.run, How::Done);
+    end(&mut board, START + 110, *link, &start.run, RunOutcome::Done);
+    end(&mut board, START + 111, *link, &start.run, RunOutcome::Done);
     assert_eq!(answers(&mut board), [(no, Outcome::Complete)]);
 }
 
@@ -151,9 +151,9 @@
     let mut board = open(1, 2);
     submit(&mut board, START, ask("job", 1, 0));
     let (link, start) = starts(&mut board).remove(0);
-    end(&mut board, START + 100, link, &start.run, How::Done);
+    end(&mut board, START + 100, link, &start.run, RunOutcome::Done);
     let again = board.submit(ms(START + 2_000), ask("job", 1, 0));
-    assert_eq!(again, Admitted::Answered(Outcome::Complete));
+    assert_eq!(again, SubmitResult::Answered(Outcome::Complete));
     assert_eq!(starts(&mut board).len(), 0);
 }
 
@@ -163,11 +163,23 @@
     let mut board = open(2, 4);
     let no = submit(&mut board, START, ask("job", 1, 0));
     let (first, start) = starts(&mut board).remove(0);
-    end(&mut board, START + 10, first, &start.run, How::Failed);
+    end(
+        &mut board,
+        START + 10,
+        first,
+        &start.run,
+        RunOutcome::Failed,
+    );
     let (second, again) = starts(&mut board).remove(0);
     assert_ne!(first, second);
     assert!(again.run.number > start.run.number);
-    end(&mut board, START + 20, second, &again.run, How::Failed);
+    end(
+        &mut board,
+        START + 20,
+        second,
+        &again.run,
+        RunOutcome::Failed,
+    );
     assert_eq!(answers(&mut board), [(no, Outcome::Failed)]);
 }
 
@@ -179,7 +191,13 @@
     submit(&mut board, START, ask("a", 2, 0));
     let sent = starts(&mut board);
     let sick = sent[0].0;
-    end(&mut board, START + 5, sick, &sent[0].1.run, How::Failed);
+    end(
+        &mut board,
+        START + 5,
+        sick,
+        &sent[0].1.run,
+        RunOutcome::Failed,
+    );
     starts(&mut board);
     submit(&mut board, START + 6, ask("b", 8, 0));
     let sent = starts(&mut board);
@@ -187,7 +205,13 @@
         .iter()
         .find(|(link, _)| *link == sick)
         .expect("spread over both");
-    end(&mut board, START + 10, sick, &here.1.run, How::Failed);
+    end(
+        &mut board,
+        START + 10,
+        sick,
+        &here.1.run,
+        RunOutcome::Failed,
+    );
     starts(&mut board);
     submit(&mut board, START + 11, ask("c", 4, 0));
     assert!(starts(&mut board).iter().all(|(link, _)| *link != sick));
@@ -228,8 +252,14 @@
     let again = starts(&mut board);
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].1.run.task, sent[1].1.run.task);
-    end(&mut board, START + 100, 2, &kept, How::Done);
-    end(&mut board, START + 100, 2, &again[0].1.run, How::Done);
+    end(&mut board, START + 100, 2, &kept, RunOutcome::Done);
+    end(
+        &mut board,
+        START + 100,
+        2,
+        &again[0].1.run,
+        RunOutcome::Done,
+    );
     assert_eq!(answers(&mut board).len(), 1);
 }
 
@@ -244,7 +274,7 @@
     let refused = board.submit(ms(START + 60), ask("job", 1, 0));
     let why = matches!(
         refused,
-        Admitted::Answered(Outcome::NotRun(NotRun::NoWorker, _))
+        SubmitResult::Answered(Outcome::NotRun(NotRunReason::NoWorker, _))
     );
     assert!(why, "{refused:?}");
 }
@@ -294,11 +324,17 @@
     let running = starts(&mut board);
     assert_eq!(running.len(), 2);
     submit(&mut board, START + 1, ask("urgent", 1, 0));
-    end(&mut board, START + 50, 1, &running[0].1.run, How::Done);
+    end(
+        &mut board,
+        START + 50,
+        1,
+        &running[0].1.run,
+        RunOutcome::Done,
+    );
     let next = starts(&mut board);
     assert_eq!(next[0].1.run.job, "urgent");
     let refused = board.submit(ms(START + 51), ask("wide", 200, 1));
-    let Admitted::Answered(Outcome::NotRun(NotRun::Overloaded, back)) = refused else {
+    let SubmitResult::Answered(Outcome::NotRun(NotRunReason::Overloaded, back)) = refused else {
         panic!("{refused:?}");
     };
     assert!(back > ms(400), "the wait that is expected: {back:?}");
@@ -338,7 +374,7 @@
         0,
         "not before the first has ended"
     );
-    end(&mut board, at + 5, link, &start.run, How::Gone);
+    end(&mut board, at + 5, link, &start.run, RunOutcome::Gone);
     let (other, _) = starts(&mut board).remove(0);
     assert_ne!(other, link);
 }
@@ -354,7 +390,7 @@
     let second = submit(&mut board, START, second);
     let (link, start) = starts(&mut board).remove(0);
     board.stood_still(ms(START + 300));
-    end(&mut board, START + 301, link, &start.run, How::Done);
+    end(&mut board, START + 301, link, &start.run, RunOutcome::Done);
     assert_eq!(starts(&mut board).len(), 0);
     board.caller_left(ms(START + 302), second);
     board.heard(ms(START + 400), 1, &line(1, 1));
@@ -373,14 +409,14 @@
     let refused = board.submit(ms(START), long);
     assert!(matches!(
         refused,
-        Admitted::Answered(Outcome::NotRun(NotRun::Stopping, _))
+        SubmitResult::Answered(Outcome::NotRun(NotRunReason::Stopping, _))
     ));
     submit(&mut board, START, ask("short", 1, 0));
     submit(&mut board, START + 790, ask("later", 1, 0));
     let refused = board.submit(ms(START + 810), ask("late", 1, 0));
     assert!(matches!(
         refused,
-        Admitted::Answered(Outcome::NotRun(NotRun::Stopping, _))
+        SubmitResult::Answered(Outcome::NotRun(NotRunReason::Stopping, _))
     ));
 }
 
@@ -398,9 +434,9 @@
         running.retain(|(until, run)| {
             if *until <= at {
                 let mut line = line(4, taken);
-                line.ended.push(Ended {
+                line.ended.push(RunEnd {
                     run: run.clone(),
-                    how: How::Done,
+                    outcome: RunOutcome::Done,
                     took_ms: 100,
                 });
                 board.heard(ms(at), 1, &line);
@@ -426,7 +462,7 @@
     long.slack = ms(700);
     long.deadline = ms(at + 5_000);
     let admitted = board.submit(ms(at), long);
-    assert!(matches!(admitted, Admitted::Job(_)), "{admitted:?}");
+    assert!(matches!(admitted, SubmitResult::Job(_)), "{admitted:?}");
 }
 
 /// A job fails though a sound worker was there: its task failed at a sick worker, which alone had room
@@ -441,13 +477,25 @@
     let (sick, start) = &sent[0];
     let sound = 3 - sick;
     board.heard(ms(START + 5), sound, &line(0, 100));
-    end(&mut board, START + 10, *sick, &start.run, How::Failed);
+    end(
+        &mut board,
+        START + 10,
+        *sick,
+        &start.run,
+        RunOutcome::Failed,
+    );
     assert_eq!(starts(&mut board).len(), 0, "it waits");
     let other = filled
         .iter()
         .find(|(link, _)| *link == sound)
         .expect("both are used");
-    end(&mut board, START + 20, sound, &other.1.run, How::Done);
+    end(
+        &mut board,
+        START + 20,
+        sound,
+        &other.1.run,
+        RunOutcome::Done,
+    );
     let (link, again) = starts(&mut board).remove(0);
     assert_eq!((link, again.run.task), (sound, start.run.task));
 }
@@ -470,12 +518,16 @@
                 at + 5,
                 link,
                 &start.run,
-                if fails { How::Failed } else { How::Done },
+                if fails {
+                    RunOutcome::Failed
+                } else {
+                    RunOutcome::Done
+                },
             );
         }
         for (link, start) in starts(&mut board) {
             here += u64::from(link == 1);
-            end(&mut board, at + 7, link, &start.run, How::Done);
+            end(&mut board, at + 7, link, &start.run, RunOutcome::Done);
         }
     }
     assert!(failures <= 4, "{failures}");
@@ -540,11 +592,11 @@
         board.tick(ms(START));
         board.submit(ms(at), ask("job", 1, 0))
     };
-    assert!(matches!(alone(START + 100), Admitted::Job(_)));
-    let refused = |admitted: &Admitted| {
+    assert!(matches!(alone(START + 100), SubmitResult::Job(_)));
+    let refused = |admitted: &SubmitResult| {
         matches!(
             admitted,
-            Admitted::Answered(Outcome::NotRun(NotRun::NoWorker, _))
+            SubmitResult::Answered(Outcome::NotRun(NotRunReason::NoWorker, _))
         )
     };
     assert!(refused(&alone(START + 900)), "no agent ever came");
--- a/tests/besteffort_crashes.rs
+++ b/tests/besteffort_crashes.rs
@@ -5,9 +5,13 @@
 
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::crashes::{Crashes, CAUSE, LIKELY, POSSIBLE, PROBATION};
+use lovagemill::decide::besteffort::crashes::{
+    Crashes, CAUSE_POINTS, LIKELY_POINTS, POSSIBLE_POINTS, PROBATION,
+};
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{Crash, How, Run, ServerLife, Start, TaskName};
+use lovagemill::decide::besteffort::message::{
+    Crash, Run, RunOutcome, ServerIncarnation, Start, TaskName,
+};
 use lovagemill::decide::besteffort::slots::{Checked, Listing, Order, Slots, StartAnswer};
 
 use support::besteffort::{self, ends, entry, heartbeat, run};
@@ -88,7 +92,7 @@
     let after = START + 2_000;
     assert_eq!(
         ends(&mut slots, &entry("e"), ms(after)),
-        [(task, How::Gone)]
+        [(task, RunOutcome::Gone)]
     );
     slots.listed(ms(after), ms(after), listing(after, &[]));
     assert_eq!(told(&mut slots, after), []);
@@ -148,9 +152,9 @@
     slots.listed(ms(at), ms(at), listing(at, std::slice::from_ref(&old)));
     assert!(begins(&mut slots, at, besteffort::start(young.clone(), at)));
     let mut next = heartbeat("life");
-    next.backend.life = ServerLife {
+    next.backend.incarnation = ServerIncarnation {
         born_ms: Some(7),
-        ..ServerLife::named("life")
+        ..ServerIncarnation::with_id("life")
     };
     let check = slots.announced(ms(at + 10), next).expect("another start");
     let there = Checked::There(Listing {
@@ -221,7 +225,7 @@
     assert!(!begins(
         &mut slots,
         START + 10,
-        suspect(suspected.clone(), LIKELY)
+        suspect(suspected.clone(), LIKELY_POINTS)
     ));
     assert!(!begins(
         &mut slots,
@@ -241,11 +245,11 @@
     assert!(!begins(
         &mut slots,
         at + 20,
-        suspect(another.clone(), LIKELY)
+        suspect(another.clone(), LIKELY_POINTS)
     ));
     assert_eq!(
         ends(&mut slots, &entry("e"), ms(at + 20)),
-        [(another, How::NotRun)],
+        [(another, RunOutcome::NotRun)],
         "it goes elsewhere at once"
     );
     let to = slots.recipient();
@@ -271,7 +275,7 @@
     assert!(begins(
         &mut slots,
         START,
-        suspect(suspected.clone(), LIKELY)
+        suspect(suspected.clone(), LIKELY_POINTS)
     ));
     let at = START + probation + 1;
     slots.listed(ms(at), ms(at), listing(at, &[suspected]));
@@ -301,19 +305,19 @@
     };
     let mut crashes = Crashes::default();
     crashes.hear(ms(0), "a", 1, &crash(1, &[cause, beside], &[old]));
-    assert_eq!(crashes.suspicion("job", 1), LIKELY);
-    assert_eq!(crashes.suspicion("job", 2), POSSIBLE);
+    assert_eq!(crashes.suspicion("job", 1), LIKELY_POINTS);
+    assert_eq!(crashes.suspicion("job", 2), POSSIBLE_POINTS);
     assert_eq!(crashes.cause_in("job"), None);
     // The same crash, told once more.
     crashes.hear(ms(1), "a", 1, &crash(1, &[cause, beside], &[old]));
-    assert_eq!(crashes.suspicion("job", 0), LIKELY);
+    assert_eq!(crashes.suspicion("job", 0), LIKELY_POINTS);
     crashes.hear(ms(2), "b", 1, &crash(1, &[cause], &[]));
-    assert_eq!(crashes.suspicion("job", 0), CAUSE);
+    assert_eq!(crashes.suspicion("job", 0), CAUSE_POINTS);
     assert_eq!(crashes.cause_in("job"), Some(0));
     assert_eq!(crashes.agents("job", 0), ["a", "b"]);
     assert_eq!(
         (crashes.suspicion("job", 1), crashes.suspicion("job", 2)),
-        (LIKELY, 0),
+        (LIKELY_POINTS, 0),
         "the likely one stays on probation"
     );
     crashes.forget(ms(60_000));
@@ -334,7 +338,7 @@
     };
     crashes.hear(ms(1), "b", 1, &proven(&first));
     assert_eq!(crashes.cause_in("other"), None);
-    assert_eq!(crashes.suspicion("other", 0), LIKELY);
+    assert_eq!(crashes.suspicion("other", 0), LIKELY_POINTS);
     crashes.hear(ms(2), "c", 1, &proven(&second));
     assert_eq!(crashes.cause_in("other"), Some(0));
 }
--- a/tests/besteffort_evacuation.rs
+++ b/tests/besteffort_evacuation.rs
@@ -4,9 +4,11 @@
 
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::evacuation::{Evacuations, Reading, Told, Word};
+use lovagemill::decide::besteffort::evacuation::{
+    DomainState, Evacuations, LastSent, StoreReading,
+};
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{How, Run};
+use lovagemill::decide::besteffort::message::{Run, RunOutcome};
 use lovagemill::decide::besteffort::slots::{Checked, Order, Slots, StartAnswer};
 
 use support::besteffort::{self, entry, heartbeat, listed, run, start};
@@ -18,8 +20,8 @@
 }
 
 /// All domains that are evacuated.
-fn whole(version: u64, names: &[&str]) -> Reading {
-    Reading {
+fn whole(version: u64, names: &[&str]) -> StoreReading {
+    StoreReading {
         version,
         whole: true,
         domains: names.iter().map(|name| ((*name).into(), true)).collect(),
@@ -27,16 +29,16 @@
 }
 
 /// One domain that was evacuated or taken back.
-fn change(version: u64, name: &str, evacuated: bool) -> Reading {
-    Reading {
+fn change(version: u64, name: &str, evacuated: bool) -> StoreReading {
+    StoreReading {
         version,
         whole: false,
         domains: vec![(name.into(), evacuated)],
     }
 }
 
-fn word(version: u64, evacuated: bool) -> Word {
-    Word { version, evacuated }
+fn word(version: u64, evacuated: bool) -> DomainState {
+    DomainState { version, evacuated }
 }
 
 /// An agent with a living backend server and two entries that it hears.
@@ -62,7 +64,7 @@
     starts.collect()
 }
 
-fn ends(slots: &mut Slots, name: &str) -> Vec<(Run, How)> {
+fn ends(slots: &mut Slots, name: &str) -> Vec<(Run, RunOutcome)> {
     besteffort::ends(slots, &entry(name), ms(START))
 }
 
@@ -81,7 +83,10 @@
     assert!(!slots.backend().takes_work, "entries are told");
     send(&mut slots, "cut-off", run("a", 0, 1));
     assert_eq!(begun(&mut slots), []);
-    assert_eq!(ends(&mut slots, "cut-off"), [(run("a", 0, 1), How::NotRun)]);
+    assert_eq!(
+        ends(&mut slots, "cut-off"),
+        [(run("a", 0, 1), RunOutcome::NotRun)]
+    );
     // The old word of the entry that knows nothing newer changes nothing.
     assert!(!slots.evacuation(ms(START), word(40, false)));
     send(&mut slots, "cut-off", run("a", 0, 2));
@@ -104,10 +109,12 @@
     slots.evacuation(ms(START), word(50, true));
     assert_eq!(
         ends(&mut slots, "informed"),
-        [(run("a", 4, 1), How::NotRun)]
+        [(run("a", 4, 1), RunOutcome::NotRun)]
     );
     assert!(slots.orders().is_empty(), "nothing that runs is stopped");
-    let done = (0..4).map(|task| (run("a", task, 1), How::Done)).collect();
+    let done = (0..4)
+        .map(|task| (run("a", task, 1), RunOutcome::Done))
+        .collect();
     slots.listed(ms(START + 50), ms(START + 40), listed(Vec::new(), done));
     assert_eq!(ends(&mut slots, "informed").len(), 4);
     assert!(slots.evacuation(ms(START + 60), word(70, false)));
@@ -128,7 +135,7 @@
         (vec![word(10, true), word(10, true)], true),
     ];
     for (words, expected) in cases {
-        let mut held = Word::default();
+        let mut held = DomainState::default();
         for word in &words {
             held.update(*word);
         }
@@ -164,7 +171,7 @@
 /// had no change to tell of. So it repeats what it knows every two seconds.
 #[test]
 fn an_agent_is_told_at_once_on_a_change_and_again_after_a_while() {
-    let mut told = Told::default();
+    let mut told = LastSent::default();
     assert_eq!(told.due(ms(0), None), None);
     assert_eq!(told.due(ms(1), Some(word(5, false))), Some(word(5, false)));
     assert_eq!(told.due(ms(900), Some(word(6, false))), None);
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::asking::Asking;
+use lovagemill::decide::besteffort::asking::RoomRequests;
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{How, Room, Run, Wants};
+use lovagemill::decide::besteffort::message::{Room, Run, RunOutcome, WaitingWork};
 use lovagemill::decide::besteffort::slots::{Checked, Listing, Slots, StartAnswer};
 
 use support::besteffort::{self, entry, heartbeat, listed, NEED};
@@ -18,8 +18,8 @@
     Duration::from_millis(at)
 }
 
-fn wants(priority: u32, urgency_ms: u64, tasks: u32) -> Option<Wants> {
-    Some(Wants {
+fn wants(priority: u32, urgency_ms: u64, tasks: u32) -> Option<WaitingWork> {
+    Some(WaitingWork {
         priority,
         urgency_ms,
         need: NEED,
@@ -46,7 +46,7 @@
     slots
 }
 
-fn listed_at(at: u64, ended: Vec<(Run, How)>) -> Listing {
+fn listed_at(at: u64, ended: Vec<(Run, RunOutcome)>) -> Listing {
     let running = (1..=4).map(|n| (besteffort::run("full", n as u32, n), 10));
     let running = running.filter(|(run, _)| !ended.iter().any(|(end, _)| end == run));
     Listing {
@@ -57,7 +57,7 @@
 
 /// One task of the first entry ends.
 fn one_ends(slots: &mut Slots, at: u64) {
-    let ended = vec![(besteffort::run("full", 1, 1), How::Done)];
+    let ended = vec![(besteffort::run("full", 1, 1), RunOutcome::Done)];
     slots.listed(ms(at), ms(at), listed_at(at, ended));
 }
 
@@ -142,7 +142,7 @@
 #[test]
 fn a_few_agents_are_asked_at_a_time() {
     let links: BTreeMap<u64, ()> = (1..=20).map(|link| (link, ())).collect();
-    let mut asking = Asking::default();
+    let mut asking = RoomRequests::default();
     let first = asking.due(ms(START), 1, &links);
     assert_eq!(first, [1, 2, 3, 4, 5, 6]);
     for link in &first {
--- a/tests/besteffort_load/world.rs
+++ b/tests/besteffort_load/world.rs
@@ -4,16 +4,17 @@
 use std::time::Duration;
 
 use compact_str::CompactString;
-use lovagemill::decide::besteffort::asking::Asking;
-use lovagemill::decide::besteffort::board::{Action, Admitted, Board};
+use lovagemill::decide::besteffort::asking::RoomRequests;
+use lovagemill::decide::besteffort::board::{Action, Board, SubmitResult};
 use lovagemill::decide::besteffort::job::{JobNo, Outcome};
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{
-    Backend, EntryName, FromAgent, FromEntry, Heartbeat, How, Room, Run, ServerLife,
+    AgentMessage, Backend, EntryIncarnation, EntryMessage, Heartbeat, Room, Run, RunOutcome,
+    ServerIncarnation,
 };
 use lovagemill::decide::besteffort::policy::Policy;
 use lovagemill::decide::besteffort::slots::{Checked, Listing, Order, Slots, StartAnswer};
-use lovagemill::decide::besteffort::subset::{Change, Member};
+use lovagemill::decide::besteffort::subset::{LinkChange, ListedAgent};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -55,8 +56,8 @@
 enum Event {
     EntryTick(usize),
     AgentTick(usize),
-    ToAgent(usize, usize, FromEntry),
-    ToEntry(usize, usize, Box<FromAgent>),
+    ToAgent(usize, usize, EntryMessage),
+    ToEntry(usize, usize, Box<AgentMessage>),
     /// A start is carried out, or isn't answered.
     Order(usize, Order),
     /// The start that was sent once more arrives.
@@ -76,9 +77,9 @@
 
 struct Entry {
     board: Board,
-    asking: Asking,
+    asking: RoomRequests,
     /// What waits for each link's next line, and the agents' clocks as last heard.
-    out: BTreeMap<u64, FromEntry>,
+    out: BTreeMap<u64, EntryMessage>,
     seen: BTreeMap<u64, (u64, Us)>,
     links: BTreeMap<u64, ()>,
     wanted: BTreeSet<u64>,
@@ -91,7 +92,7 @@
     slots: Slots,
     /// When each run began, and how long it works.
     running: BTreeMap<Run, (Us, Us)>,
-    ended: Vec<(u64, Run, How)>,
+    ended: Vec<(u64, Run, RunOutcome)>,
     last_end: u64,
     taken: Vec<u64>,
     /// Lost for good with its backend server.
@@ -106,7 +107,7 @@
     load: Load,
     rng: SmallRng,
     events: Schedule<Event>,
-    names: Vec<EntryName>,
+    names: Vec<EntryIncarnation>,
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     jobs: u64,
@@ -117,10 +118,10 @@
     Duration::from_micros(us)
 }
 
-fn name(e: usize) -> EntryName {
-    EntryName {
+fn name(e: usize) -> EntryIncarnation {
+    EntryIncarnation {
         entry: format!("entry-{e}").into(),
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -130,7 +131,7 @@
 fn backend(a: usize, life: u64, load: &Load) -> Backend {
     let is_rare = a + 2 >= load.agents;
     Backend {
-        life: ServerLife::named(format!("server-{a}-{life}")),
+        incarnation: ServerIncarnation::with_id(format!("server-{a}-{life}")),
         service: "svc".into(),
         labels: is_rare.then(|| RARE.into()).into_iter().collect(),
         size: Room {
@@ -184,9 +185,9 @@
         format!("domain-{}", n % self.load.domains).into()
     }
 
-    fn member(&self, a: usize) -> Member {
+    fn member(&self, a: usize) -> ListedAgent {
         let backend = backend(a, 0, &self.load);
-        Member {
+        ListedAgent {
             agent: format!("agent-{a}").into(),
             addr: ([127, 0, 0, 1], 1).into(),
             failure_domain: self.domain(a),
@@ -209,7 +210,7 @@
         board.tick(at(self.now));
         Entry {
             board,
-            asking: Asking::default(),
+            asking: RoomRequests::default(),
             out: BTreeMap::new(),
             seen: BTreeMap::new(),
             links: BTreeMap::new(),
@@ -238,7 +239,7 @@
     fn connect(&mut self, e: usize, a: usize) {
         let mut hello = self.agents[a].slots.entry_up(at(self.now), &self.names[e]);
         hello.agent = format!("agent-{a}").into();
-        hello.life = 1;
+        hello.incarnation = 1;
         hello.failure_domain = self.domain(a);
         self.agents[a].taken[e] = 0;
         let link = a as u64;
@@ -249,18 +250,18 @@
         self.entry_hears(e, a, &line);
     }
 
-    fn change_link(&mut self, e: usize, change: Change) {
+    fn change_link(&mut self, e: usize, change: LinkChange) {
         let number = |agent: &str| -> usize {
             let number = agent.strip_prefix("agent-").and_then(|n| n.parse().ok());
             number.expect("numbered by the play")
         };
         match change {
-            Change::Open(agent, _) => {
+            LinkChange::Open(agent, _) => {
                 let a = number(&agent);
                 self.entries[e].wanted.insert(a as u64);
                 self.after(self.load.opens_in * MS, Event::Linked(e, a));
             }
-            Change::Close(agent) => {
+            LinkChange::Close(agent) => {
                 let link = number(&agent) as u64;
                 self.entries[e].wanted.remove(&link);
                 self.unlink(e, link);
@@ -362,7 +363,7 @@
                         self.now.min(self.last_job()),
                     );
                     self.seen.worked += to.saturating_sub(from);
-                    self.agents[a].end(run, How::Done);
+                    self.agents[a].end(run, RunOutcome::Done);
                     self.list(a);
                 }
             }
@@ -414,10 +415,10 @@
         self.seen.jobs[class].all += u64::from(sound);
         self.seen.after_loss.all += u64::from(self.is_after_loss(self.now));
         match self.entries[e].board.submit(at(self.now), ask) {
-            Admitted::Job(no) => {
+            SubmitResult::Job(no) => {
                 self.entries[e].callers.insert(no, (class, sound, self.now));
             }
-            Admitted::Answered(_) => self.refused(class, sound),
+            SubmitResult::Answered(_) => self.refused(class, sound),
         }
         self.flush_entry(e);
     }
@@ -502,10 +503,10 @@
         let mut line = entry.out.remove(&link).unwrap_or_default();
         let (seen_ms, heard) = entry.seen.get(&link).copied().unwrap_or_default();
         line.seen_ms = seen_ms;
-        line.wants = entry.board.wants();
+        line.waiting = entry.board.wants();
         entry
             .asking
-            .said(link, line.wants.map(|wants| wants.priority));
+            .said(link, line.waiting.map(|wants| wants.priority));
         let there = |ms: u64| (ms + seen_ms).saturating_sub(heard / MS);
         for start in &mut line.starts {
             start.deadline_ms = there(start.deadline_ms);
@@ -515,7 +516,7 @@
         self.after(WAY, Event::ToAgent(e, a, line));
     }
 
-    fn agent_hears(&mut self, e: usize, a: usize, line: FromEntry) {
+    fn agent_hears(&mut self, e: usize, a: usize, line: EntryMessage) {
         if self.agents[a].is_lost || !self.entries[e].links.contains_key(&(a as u64)) {
             return;
         }
@@ -530,7 +531,7 @@
             agent.taken[e] += 1;
             agent.slots.start(now, &of, fresh, start);
         }
-        agent.slots.waits(now, &of, line.seen_ms, line.wants);
+        agent.slots.waits(now, &of, line.seen_ms, line.waiting);
         if is_heartbeat {
             self.agent_says(e, a);
         }
@@ -543,10 +544,10 @@
         self.after(WAY, Event::ToEntry(e, a, Box::new(line)));
     }
 
-    fn agent_line(&mut self, e: usize, a: usize) -> FromAgent {
+    fn agent_line(&mut self, e: usize, a: usize) -> AgentMessage {
         let agent = &mut self.agents[a];
         let mut line = agent.slots.line(&self.names[e], at(self.now));
-        line.taken = agent.taken[e];
+        line.starts_read = agent.taken[e];
         line.backend = Some(agent.slots.backend());
         if self.load.claims == Claims::Everyone {
             line.free = agent.slots.free();
@@ -555,7 +556,7 @@
         line
     }
 
-    fn entry_hears(&mut self, e: usize, a: usize, line: &FromAgent) {
+    fn entry_hears(&mut self, e: usize, a: usize, line: &AgentMessage) {
         if !self.entries[e].links.contains_key(&(a as u64)) {
             return;
         }
@@ -623,7 +624,7 @@
             }
             Order::Stop { run, .. } => {
                 if self.agents[a].running.remove(&run).is_some() {
-                    self.agents[a].end(run.clone(), How::Gone);
+                    self.agents[a].end(run.clone(), RunOutcome::Gone);
                 }
                 self.after(ORDER, Event::Stopped(a, run));
             }
@@ -700,7 +701,7 @@
 }
 
 impl Agent {
-    fn end(&mut self, run: Run, how: How) {
+    fn end(&mut self, run: Run, how: RunOutcome) {
         self.last_end += 1;
         self.ended.push((self.last_end, run, how));
     }
--- a/tests/besteffort_placing.rs
+++ b/tests/besteffort_placing.rs
@@ -18,7 +18,8 @@
     let rooms = [("a", 1.0), ("b", 2.0), ("c", 5.0)];
     let mut won = [0_u32; 3];
     for task in 0..8_000 {
-        let places = rooms.map(|(agent, room)| draw::place(draw::seed(&run(task)), agent, room));
+        let places =
+            rooms.map(|(agent, room)| draw::weighted_key(draw::seed(&run(task)), agent, room));
         let least = (0..3).min_by(|a, b| places[*a].total_cmp(&places[*b]));
         won[least.expect("three agents")] += 1;
     }
@@ -28,6 +29,6 @@
         assert!(off < 0.1 * expected + 50.0, "{agent} won {won}");
     }
     // The same events have the same effects.
-    let again = [1, 2].map(|_| draw::place(draw::seed(&run(3)), "a", 2.0));
+    let again = [1, 2].map(|_| draw::weighted_key(draw::seed(&run(3)), "a", 2.0));
     assert_eq!(again[0], again[1]);
 }
--- a/tests/besteffort_returns.rs
+++ b/tests/besteffort_returns.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{EntryName, Heartbeat, How, Run, ServerLife};
+use lovagemill::decide::besteffort::message::{
+    EntryIncarnation, Heartbeat, Run, RunOutcome, ServerIncarnation,
+};
 use lovagemill::decide::besteffort::slots::{
     Check, Checked, Listing, Order, PassedOver, Slots, StartAnswer,
 };
@@ -23,13 +25,13 @@
     Duration::from_millis(at)
 }
 
-fn name() -> EntryName {
+fn name() -> EntryIncarnation {
     entry("entry")
 }
 
 fn heartbeat(born_ms: u64, number: u64, takes_work: bool) -> Heartbeat {
     let mut heartbeat = besteffort::heartbeat("server");
-    heartbeat.backend.life.born_ms = Some(born_ms);
+    heartbeat.backend.incarnation.born_ms = Some(born_ms);
     heartbeat.backend.takes_work = takes_work;
     heartbeat.number = number;
     heartbeat
@@ -74,7 +76,7 @@
     assert!(slots.checked(ms(at), ms(at), &check, there));
 }
 
-fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, How)> {
+fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, RunOutcome)> {
     besteffort::ends(slots, &name(), ms(at))
 }
 
@@ -112,14 +114,14 @@
     take_up_second(&mut slots, START + 1, true);
     slots.listed(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
     slots.announced(ms(START + 4), heartbeat(FIRST, 22, false));
-    let first = ServerLife {
+    let first = ServerIncarnation {
         born_ms: Some(FIRST),
         ..slots.life().clone()
     };
     slots.left(ms(START + 5), &first);
     assert!(slots.backend().takes_work);
     // A leave that names no life may be that of either; the living one's next word sets it right.
-    slots.left(ms(START + 6), &ServerLife::named("server"));
+    slots.left(ms(START + 6), &ServerIncarnation::with_id("server"));
     assert!(!slots.backend().takes_work);
     slots.announced(ms(START + 7), heartbeat(SECOND, 2, true));
     assert!(slots.backend().takes_work);
@@ -191,11 +193,11 @@
         ms(START + 3),
         listing(SECOND, 9, std::slice::from_ref(&taken)),
     );
-    assert_eq!(ends(&mut slots, START + 4), [(lost, How::Gone)]);
+    assert_eq!(ends(&mut slots, START + 4), [(lost, RunOutcome::Gone)]);
     let mut done = listing(SECOND, 30, &[]);
-    done.ended.push((taken.clone(), How::Done));
+    done.ended.push((taken.clone(), RunOutcome::Done));
     slots.listed(ms(START + 25), ms(START + 24), done);
-    assert_eq!(ends(&mut slots, START + 25), [(taken, How::Done)]);
+    assert_eq!(ends(&mut slots, START + 25), [(taken, RunOutcome::Done)]);
 }
 
 /// The same, where the order is carried out after the first word of the next life. What was decided for
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -8,11 +8,11 @@
 
 use hyper::Method;
 use lovagemill::besteffort::agent::{self, Agent};
-use lovagemill::decide::besteffort::board::{Admitted, Board};
-use lovagemill::decide::besteffort::job::{NotRun, Outcome, Submission};
+use lovagemill::decide::besteffort::board::{Board, SubmitResult};
+use lovagemill::decide::besteffort::job::{NotRunReason, Outcome, Submission};
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{
-    Backend, EntryName, FromAgent, Hello, How, Room, Run, Start, Wants,
+    AgentMessage, Backend, EntryIncarnation, Hello, Room, Run, RunOutcome, Start, WaitingWork,
 };
 use lovagemill::decide::besteffort::policy::Policy;
 use lovagemill::decide::besteffort::slots::{Checked, Listing, Slots, StartAnswer};
@@ -103,7 +103,7 @@
 }
 
 /// An agent of a backend server with four places, and two entries that are heard.
-fn open() -> (Slots, [EntryName; 2]) {
+fn open() -> (Slots, [EntryIncarnation; 2]) {
     let mut slots = Slots::open(Bounds::default());
     let check = slots.announced(ms(START), heartbeat("life"));
     let there = Checked::There(listed_at(START, &[]));
@@ -123,7 +123,7 @@
     assert_eq!(slots.announced(ms(at), heartbeat), None);
 }
 
-fn begin(slots: &mut Slots, name: &EntryName, n: u32) -> Run {
+fn begin(slots: &mut Slots, name: &EntryIncarnation, n: u32) -> Run {
     let run = besteffort::run("job", n, 1);
     let start = Start {
         patience_ms: 60_000,
@@ -145,7 +145,7 @@
     resize(&mut slots, START + 10, 2, 2_000);
     assert_eq!(
         ends(&mut slots, &a, ms(START + 10)),
-        [(waiting, How::NotRun)]
+        [(waiting, RunOutcome::NotRun)]
     );
     assert_eq!(
         slots.free().cpu,
@@ -159,7 +159,7 @@
         listed_at(START + 20, &runs[..1]),
     );
     resize(&mut slots, START + 20, 3, 4_000);
-    let wants = Wants {
+    let wants = WaitingWork {
         priority: 0,
         urgency_ms: START,
         need: NEED,
@@ -190,7 +190,7 @@
     );
     assert_eq!(
         ends(&mut slots, &a, ms(START + 2)),
-        [(run, How::NotRun)],
+        [(run, RunOutcome::NotRun)],
         "no room at all"
     );
     resize(&mut slots, START + 3, 3, 4_000);
@@ -223,14 +223,14 @@
 }
 
 fn say_room(board: &mut Board, at: u64, cpu: i64) {
-    let line = FromAgent {
+    let line = AgentMessage {
         free: size(cpu),
         sharers: 1,
         backend: Some(Backend {
             size: size(cpu),
             ..besteffort::backend("life")
         }),
-        ..FromAgent::default()
+        ..AgentMessage::default()
     };
     board.heard(ms(at), 1, &line);
 }
@@ -242,7 +242,7 @@
     board.tick(ms(START - 5_000));
     let hello = Hello {
         agent: "agent".into(),
-        life: 1,
+        incarnation: 1,
         failure_domain: "domain".into(),
         runs: Vec::new(),
         ended: Vec::new(),
@@ -252,22 +252,22 @@
     let refused = |board: &mut Board, at: u64, job: &str, cpu: i64| match board
         .submit(ms(at), ask(job, cpu))
     {
-        Admitted::Answered(Outcome::NotRun(why, _)) => Some(why),
+        SubmitResult::Answered(Outcome::NotRun(why, _)) => Some(why),
         _ => None,
     };
     assert_eq!(refused(&mut board, START, "small", 3_000), None);
     assert_eq!(
         refused(&mut board, START, "large", 5_000),
-        Some(NotRun::NoFit)
+        Some(NotRunReason::NoFit)
     );
     say_room(&mut board, START + 1_000, 0);
     assert_eq!(
         refused(&mut board, START + 1_000, "next", 3_000),
-        Some(NotRun::Shrunk)
+        Some(NotRunReason::Shrunk)
     );
     assert_eq!(
         refused(&mut board, START + 1_000, "larger", 5_000),
-        Some(NotRun::NoFit)
+        Some(NotRunReason::NoFit)
     );
     say_room(&mut board, START + 2_000, 4_000);
     assert_eq!(refused(&mut board, START + 2_000, "again", 3_000), None);
--- a/tests/besteffort_sim/net.rs
+++ b/tests/besteffort_sim/net.rs
@@ -1,14 +1,14 @@
 //! Links between entries and agents: in order, delayed, held back, cut and reset.
 
-use lovagemill::decide::besteffort::message::{FromAgent, FromEntry};
+use lovagemill::decide::besteffort::message::{AgentMessage, EntryMessage};
 
 use crate::server::Ms;
 
 /// Which end a line goes to.
 #[derive(Clone, Debug)]
 pub enum Line {
-    ToAgent(Box<FromEntry>),
-    ToEntry(Box<FromAgent>),
+    ToAgent(Box<EntryMessage>),
+    ToEntry(Box<AgentMessage>),
 }
 
 /// One connection; a new one has a larger number.
--- a/tests/besteffort_sim/server.rs
+++ b/tests/besteffort_sim/server.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lovagemill::decide::besteffort::message::{How, Run};
+use lovagemill::decide::besteffort::message::{Run, RunOutcome};
 use lovagemill::decide::besteffort::slots::{Listing, StartAnswer};
 
 /// Times are in milliseconds.
@@ -94,7 +94,7 @@
     running: BTreeMap<Run, (Ms, Ms)>,
     closed: BTreeMap<(String, u32), u64>,
     /// Numbered from 1 in each life, until they are acknowledged.
-    ended: Vec<(u64, Run, How)>,
+    ended: Vec<(u64, Run, RunOutcome)>,
     last_end: u64,
     pub seen: Vec<Seen>,
 }
@@ -226,14 +226,14 @@
             let (_, done) = self.running[&run];
             let lapse = self.clock.when(self.lease);
             if done <= now && done <= lapse {
-                self.end(&run, done, How::Done);
+                self.end(&run, done, RunOutcome::Done);
             } else if lapse <= now {
-                self.end(&run, lapse, How::Gone);
+                self.end(&run, lapse, RunOutcome::Gone);
             }
         }
     }
 
-    fn end(&mut self, run: &Run, at: Ms, how: How) {
+    fn end(&mut self, run: &Run, at: Ms, how: RunOutcome) {
         let Some((began, _)) = self.running.remove(run) else {
             return;
         };
@@ -298,7 +298,7 @@
             return false;
         }
         self.close(run);
-        self.end(run, now, How::Gone);
+        self.end(run, now, RunOutcome::Gone);
         true
     }
 
@@ -334,7 +334,7 @@
         self.settle(now);
         let runs: Vec<Run> = self.running.keys().cloned().collect();
         for run in runs {
-            self.end(&run, now, How::Gone);
+            self.end(&run, now, RunOutcome::Gone);
         }
     }
 }
--- a/tests/besteffort_sim/world.rs
+++ b/tests/besteffort_sim/world.rs
@@ -267,8 +267,8 @@
         self.run();
         let idle = self.agents.iter().find(|agent| {
             let known = agent.slots.backend();
-            let knows = known.life.id == agent.server.instance()
-                && known.life.born_ms == agent.server.born_ms();
+            let knows = known.incarnation.id == agent.server.instance()
+                && known.incarnation.born_ms == agent.server.born_ms();
             let serves = known.takes_work && knows;
             !(agent.server.leaving || serves)
         });
--- a/tests/besteffort_sim/world/agents.rs
+++ b/tests/besteffort_sim/world/agents.rs
@@ -1,7 +1,7 @@
 //! Agents and their backend servers: listings, orders, words about lives.
 
 use lovagemill::decide::besteffort::lease;
-use lovagemill::decide::besteffort::message::{Backend, Heartbeat, Room, ServerLife};
+use lovagemill::decide::besteffort::message::{Backend, Heartbeat, Room, ServerIncarnation};
 use lovagemill::decide::besteffort::slots::{
     Check, Checked, Isolation, Listing, Order, Recipient, Slots, StartAnswer,
 };
@@ -83,7 +83,7 @@
         let token = self.guards.token(life, &to);
         let acknowledged = agent.slots.acknowledged();
         let id = &to.life.id;
-        agent.server.is_known |= to.life == backend(&agent.server).life;
+        agent.server.is_known |= to.life == backend(&agent.server).incarnation;
         let listing = agent.server.list(at, id, token, until, acknowledged);
         let sent = now.as_millis() as u64;
         self.at(at + delay, Event::Listed(a, life, to, sent, listing));
@@ -119,7 +119,7 @@
         let lost = self.is_unanswered();
         let delay = self.rng.random_range(0..3);
         let agent = &mut self.agents[a];
-        let is_current = heartbeat.backend.life == backend(&agent.server).life;
+        let is_current = heartbeat.backend.incarnation == backend(&agent.server).incarnation;
         if is_current && !heartbeat.backend.takes_work {
             agent.server.leave_heard.get_or_insert(self.now);
         }
@@ -292,7 +292,7 @@
 
 fn backend(server: &Server) -> Backend {
     Backend {
-        life: ServerLife {
+        incarnation: ServerIncarnation {
             id: server.instance().into(),
             born_ms: server.born_ms(),
         },
--- a/tests/besteffort_sim/world/callers.rs
+++ b/tests/besteffort_sim/world/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::board::Admitted;
+use lovagemill::decide::besteffort::board::SubmitResult;
 use lovagemill::decide::besteffort::job::Submission;
 use lovagemill::decide::besteffort::lease;
 use lovagemill::decide::besteffort::message::Room;
@@ -52,7 +52,7 @@
             return;
         }
         let ask = ask(index, &self.jobs[index], now + ms(PATIENCE), self.now);
-        if let Admitted::Job(no) = self.entries[e].board.submit(now, ask) {
+        if let SubmitResult::Job(no) = self.entries[e].board.submit(now, ask) {
             self.entries[e].callers.insert(no, index);
         }
         self.flush_entry(e, Vec::new());
--- a/tests/besteffort_sim/world/entries.rs
+++ b/tests/besteffort_sim/world/entries.rs
@@ -5,7 +5,7 @@
 
 use lovagemill::decide::besteffort::board::{Action, Board};
 use lovagemill::decide::besteffort::job::{JobNo, Outcome};
-use lovagemill::decide::besteffort::message::FromEntry;
+use lovagemill::decide::besteffort::message::EntryMessage;
 use lovagemill::decide::besteffort::policy::Policy;
 use rand::Rng;
 
@@ -43,7 +43,7 @@
         self.flush_entry(e, Vec::new());
         for a in 0..AGENTS {
             self.close_if_silent(e, a, false);
-            self.entry_says(e, a, FromEntry::default());
+            self.entry_says(e, a, EntryMessage::default());
         }
         let pause = TICK + self.rng.random_range(0..5);
         self.at(self.now + pause, Event::EntryTick(e, life));
@@ -51,7 +51,7 @@
 
     pub(super) fn flush_entry(&mut self, e: usize, mut first: Vec<Action>) {
         first.extend(self.entries[e].board.actions());
-        let mut lines: BTreeMap<usize, FromEntry> = BTreeMap::new();
+        let mut lines: BTreeMap<usize, EntryMessage> = BTreeMap::new();
         let of = |links: &BTreeMap<(usize, usize), Link>, number: u64| {
             let mut own = links.range((e, 0)..(e + 1, 0));
             own.find(|(_, link)| link.number == number)
--- a/tests/besteffort_sim/world/links.rs
+++ b/tests/besteffort_sim/world/links.rs
@@ -1,7 +1,9 @@
 //! Lines between entries and agents.
 
-use lovagemill::decide::besteffort::message::{Crash, EntryName, FromAgent, FromEntry, Room};
-use lovagemill::decide::besteffort::subset::{Change, Member};
+use lovagemill::decide::besteffort::message::{
+    AgentMessage, Crash, EntryIncarnation, EntryMessage, Room,
+};
+use lovagemill::decide::besteffort::subset::{LinkChange, ListedAgent};
 use rand::Rng;
 
 use crate::net::{Line, Link};
@@ -13,8 +15,8 @@
 }
 
 /// What is listed of an agent.
-pub(super) fn member(a: usize) -> Member {
-    Member {
+pub(super) fn member(a: usize) -> ListedAgent {
+    ListedAgent {
         agent: agent_name(a).into(),
         addr: ([127, 0, 0, 1], 1).into(),
         failure_domain: "domain".into(),
@@ -29,11 +31,11 @@
 }
 
 impl World {
-    pub(super) fn entry_name(&self, e: usize, a: usize) -> Option<EntryName> {
+    pub(super) fn entry_name(&self, e: usize, a: usize) -> Option<EntryIncarnation> {
         let link = self.links.get(&(e, a))?;
-        link.agent_open.then(|| EntryName {
+        link.agent_open.then(|| EntryIncarnation {
             entry: format!("entry-{e}").into(),
-            life: self.entries[e].process.life,
+            incarnation: self.entries[e].process.life,
         })
     }
 
@@ -74,7 +76,7 @@
         let now = self.clock(self.agents[a].process);
         let mut hello = self.agents[a].slots.entry_up(now, &name);
         hello.agent = agent_name(a).into();
-        hello.life = self.agents[a].process.life;
+        hello.incarnation = self.agents[a].process.life;
         self.agent_says(e, a, Some(hello));
     }
 
@@ -89,14 +91,14 @@
         };
         let now = self.clock(self.agents[a].process);
         let agent = &mut self.agents[a];
-        let mut line: FromAgent = agent.slots.line(&name, now);
+        let mut line: AgentMessage = agent.slots.line(&name, now);
         line.backend = Some(agent.slots.backend());
         if !self.guards.tells_crashes {
             line.crashes.clear();
         }
         line.hello = hello;
         let link = self.links.get_mut(&(e, a)).expect("named above");
-        line.taken = link.taken;
+        line.starts_read = link.taken;
         let delay = self.rng.random_range(1..3);
         let at = (self.now + delay).max(link.last.1).max(link.held.1);
         link.last.1 = at;
@@ -104,7 +106,7 @@
         self.at(at, Event::Line(e, a, number, Line::ToEntry(Box::new(line))));
     }
 
-    pub(super) fn entry_says(&mut self, e: usize, a: usize, mut line: FromEntry) {
+    pub(super) fn entry_says(&mut self, e: usize, a: usize, mut line: EntryMessage) {
         let delay = self.rng.random_range(1..3);
         let Some(link) = self.links.get_mut(&(e, a)).filter(|link| link.entry_open) else {
             return;
@@ -114,7 +116,7 @@
             return;
         }
         line.seen_ms = seen;
-        line.wants = self.entries[e].board.wants();
+        line.waiting = self.entries[e].board.wants();
         for start in &mut line.starts {
             start.deadline_ms = (start.deadline_ms + seen).saturating_sub(at);
             start.urgency_ms = (start.urgency_ms + seen).saturating_sub(at);
@@ -149,7 +151,7 @@
                     link.taken += 1;
                     slots.start(now_agent, &name, fresh, start);
                 }
-                slots.waits(now_agent, &name, line.seen_ms, line.wants);
+                slots.waits(now_agent, &name, line.seen_ms, line.waiting);
                 self.flush_agent(a);
             }
             Line::ToEntry(line) if link.entry_open => {
@@ -198,18 +200,18 @@
     }
 
     /// An entry opens or closes the link to an agent.
-    pub(super) fn change_link(&mut self, e: usize, change: &Change) {
+    pub(super) fn change_link(&mut self, e: usize, change: &LinkChange) {
         let number = |agent: &str| -> usize {
             let number = agent.strip_prefix("agent-").and_then(|n| n.parse().ok());
             number.expect("named so")
         };
         match change {
-            Change::Open(agent, _) => {
+            LinkChange::Open(agent, _) => {
                 let a = number(agent);
                 self.wanted.insert((e, a));
                 self.at(self.now + 3, Event::Connect(e, a));
             }
-            Change::Close(agent) => {
+            LinkChange::Close(agent) => {
                 let a = number(agent);
                 self.wanted.remove(&(e, a));
                 let now = self.now;
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use lovagemill::decide::besteffort::lease::{self, Bounds};
-use lovagemill::decide::besteffort::message::{EntryName, How, Room, Run, ServerLife, Start};
+use lovagemill::decide::besteffort::message::{
+    EntryIncarnation, Room, Run, RunOutcome, ServerIncarnation, Start,
+};
 use lovagemill::decide::besteffort::slots::{
     Checked, Listing, Order, Recipient, Slots, StartAnswer,
 };
@@ -18,10 +20,10 @@
     Duration::from_millis(at)
 }
 
-fn entry(life: u64) -> EntryName {
-    EntryName {
+fn entry(incarnation: u64) -> EntryIncarnation {
+    EntryIncarnation {
         entry: "entry".into(),
-        life,
+        incarnation,
     }
 }
 
@@ -44,7 +46,7 @@
 
 fn stop(run: Run) -> Order {
     let to = Recipient {
-        life: ServerLife::named("life"),
+        life: ServerIncarnation::with_id("life"),
         fence: 1,
     };
     Order::Stop { to, run }
@@ -82,7 +84,7 @@
     slots.answered(ms(at), &run, StartAnswer::Accepted);
 }
 
-fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, How)> {
+fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, RunOutcome)> {
     besteffort::ends(slots, &entry(1), ms(at))
 }
 
@@ -111,7 +113,7 @@
     assert_eq!(slots.orders(), [stop(run(0, 1))]);
     slots.listed(ms(silent), ms(silent), listing(silent, &[run(0, 1)]));
     assert!(slots.renew(ms(silent)).is_some(), "the stop may still work");
-    let overdue = silent + lease::SLACK.as_millis() as u64 + 1;
+    let overdue = silent + lease::DELAY_MARGIN.as_millis() as u64 + 1;
     slots.listed(ms(overdue), ms(overdue), listing(overdue, &[run(0, 1)]));
     assert_eq!(slots.renew(ms(overdue)), None);
     slots.stop_answered(ms(overdue), &run(0, 1));
@@ -131,7 +133,7 @@
         listing(START + 100, &[run(0, 1)]),
     );
     let silence = Bounds::default().silence.as_millis() as u64;
-    let woken = START + silence + lease::SLACK.as_millis() as u64 + 1;
+    let woken = START + silence + lease::DELAY_MARGIN.as_millis() as u64 + 1;
     assert_eq!(slots.renew(ms(woken)), None);
 }
 
@@ -169,7 +171,10 @@
         "the listing is older than the stop"
     );
     slots.listed(ms(START + 190), ms(START + 180), listing(START + 190, &[]));
-    assert_eq!(ends(&mut slots, START + 190), [(run(0, 1), How::Gone)]);
+    assert_eq!(
+        ends(&mut slots, START + 190),
+        [(run(0, 1), RunOutcome::Gone)]
+    );
 }
 
 /// A backend server that guards its room refuses what doesn't fit, and one that doesn't is
@@ -186,7 +191,7 @@
     slots.stop_answered(ms(START + 6), &run(0, 1));
     assert_eq!(slots.orders(), [], "stopped isn't ended");
     let mut ended = listing(START + 8, &[run(1, 2)]);
-    ended.ended.push((run(0, 1), How::Gone));
+    ended.ended.push((run(0, 1), RunOutcome::Gone));
     slots.listed(ms(START + 8), ms(START + 7), ended);
     assert!(
         matches!(&slots.orders()[..], [Order::Start { run: begun, .. }] if *begun == run(2, 3))
@@ -206,7 +211,10 @@
     assert_eq!(slots.announced(ms(START + 5), leaving), None);
     slots.start(ms(START + 6), &entry(1), true, start(run(3, 4), START));
     assert_eq!(slots.orders(), []);
-    let bounced = [(run(2, 3), How::NotRun), (run(3, 4), How::NotRun)];
+    let bounced = [
+        (run(2, 3), RunOutcome::NotRun),
+        (run(3, 4), RunOutcome::NotRun),
+    ];
     assert_eq!(ends(&mut slots, START + 6), bounced);
     assert!(slots.is_working(), "what runs goes on");
 }
@@ -249,7 +257,7 @@
     take_up(&mut slots, START + 1, "next");
     let orders = slots.orders();
     assert!(matches!(&orders[..], [Order::Start { to, .. }] if to.life.id == "life"));
-    assert_eq!(ends(&mut slots, START + 1), [(run(0, 1), How::Gone)]);
+    assert_eq!(ends(&mut slots, START + 1), [(run(0, 1), RunOutcome::Gone)]);
 }
 
 /// A task runs on for ten seconds after its agent froze, beside its successor elsewhere. The agent had
@@ -272,9 +280,12 @@
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     let mut later = listing(START + 20, &[]);
-    later.ended.push((run(0, 1), How::Done));
+    later.ended.push((run(0, 1), RunOutcome::Done));
     slots.listed(ms(START + 21), ms(START + 5), later);
-    assert_eq!(ends(&mut slots, START + 21), [(run(0, 1), How::Done)]);
+    assert_eq!(
+        ends(&mut slots, START + 21),
+        [(run(0, 1), RunOutcome::Done)]
+    );
     let earlier = listing(START + 10, &[run(0, 1)]);
     slots.listed(ms(START + 22), ms(START + 4), earlier);
     assert_eq!(slots.orders(), []);
@@ -290,7 +301,7 @@
     let mut slots = Slots::open(Bounds::default());
     let at = ms(START);
     let check = slots.announced(at, heartbeat("life")).expect("unknown");
-    slots.left(at, &ServerLife::named("life"));
+    slots.left(at, &ServerIncarnation::with_id("life"));
     let there = Checked::There(listing(START, &[]));
     slots.checked(at, at, &check, there);
     assert!(!slots.backend().takes_work);
--- a/tests/besteffort_subset.rs
+++ b/tests/besteffort_subset.rs
@@ -4,12 +4,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::board::{Action, Admitted, Board};
-use lovagemill::decide::besteffort::job::{NotRun, Outcome, Submission};
+use lovagemill::decide::besteffort::board::{Action, Board, SubmitResult};
+use lovagemill::decide::besteffort::job::{NotRunReason, Outcome, Submission};
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{Backend, FromAgent, Hello, Room, ServerLife};
+use lovagemill::decide::besteffort::message::{
+    AgentMessage, Backend, Hello, Room, ServerIncarnation,
+};
 use lovagemill::decide::besteffort::policy::Policy;
-use lovagemill::decide::besteffort::subset::{Change, Member, Subset};
+use lovagemill::decide::besteffort::subset::{LinkChange, ListedAgent, Subset};
 
 const START: u64 = 10_000;
 
@@ -24,8 +26,8 @@
 }
 
 /// Agents are spread over five failure domains in turn, and eight share a rack.
-fn member(n: usize) -> Member {
-    Member {
+fn member(n: usize) -> ListedAgent {
+    ListedAgent {
         agent: format!("agent-{n}").into(),
         addr: SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8], 7720)),
         failure_domain: format!("domain-{}", n % 5).into(),
@@ -35,10 +37,10 @@
     }
 }
 
-fn opened(changes: &[Change]) -> BTreeSet<String> {
+fn opened(changes: &[LinkChange]) -> BTreeSet<String> {
     let open = changes.iter().filter_map(|change| match change {
-        Change::Open(agent, _) => Some(agent.to_string()),
-        Change::Close(_) => None,
+        LinkChange::Open(agent, _) => Some(agent.to_string()),
+        LinkChange::Close(_) => None,
     });
     open.collect()
 }
@@ -109,7 +111,7 @@
     subset.down(ms(START + 500), &gone);
     assert_eq!(
         subset.unlist(&gone),
-        Some(Change::Close(gone.as_str().into()))
+        Some(LinkChange::Close(gone.as_str().into()))
     );
     let changes = subset.review(ms(START + 1_000), |_| false);
     assert_eq!(
@@ -154,10 +156,10 @@
     let late = START + 2_500;
     let changes = subset.review(ms(late), |agent| *agent == used);
     assert_eq!(changes.len(), 7, "{changes:?}");
-    let unused = |change: &Change| matches!(change, Change::Close(agent) if *agent != used);
+    let unused = |change: &LinkChange| matches!(change, LinkChange::Close(agent) if *agent != used);
     assert!(changes.iter().all(unused), "{changes:?}");
     let changes = subset.review(ms(late + 2_500), |_| false);
-    assert_eq!(changes, [Change::Close(used)]);
+    assert_eq!(changes, [LinkChange::Close(used)]);
 }
 
 fn ask(job: &str, tasks: u32) -> Submission {
@@ -220,7 +222,7 @@
             for action in actions {
                 match action {
                     Action::Start(link, _) => starts.push(link),
-                    Action::Link(Change::Open(agent, _)) => {
+                    Action::Link(LinkChange::Open(agent, _)) => {
                         self.links += 1;
                         self.up.insert(agent.to_string());
                         self.connect(at, &agent, places);
@@ -236,26 +238,26 @@
         let member = member(number.expect("a number"));
         let hello = Hello {
             agent: agent.into(),
-            life: 1,
+            incarnation: 1,
             failure_domain: member.failure_domain,
             runs: Vec::new(),
             ended: Vec::new(),
         };
         self.board.agent_up(ms(at), self.links, &hello);
-        let line = FromAgent {
+        let line = AgentMessage {
             free: Room {
                 cpu: 1_000 * places,
                 ..ROOM
             },
             sharers: 1,
             backend: Some(Backend {
-                life: ServerLife::named(agent),
+                incarnation: ServerIncarnation::with_id(agent),
                 service: member.service,
                 labels: member.labels,
                 size: member.size,
                 takes_work: true,
             }),
-            ..FromAgent::default()
+            ..AgentMessage::default()
         };
         self.board.heard(ms(at), self.links, &line);
     }
@@ -283,7 +285,7 @@
         }
         let before = linked.links;
         let admitted = linked.board.submit(ms(START), ask);
-        assert!(matches!(admitted, Admitted::Job(_)), "{admitted:?}");
+        assert!(matches!(admitted, SubmitResult::Job(_)), "{admitted:?}");
         let starts = linked.carry_out(START + 4, 8);
         linked.board.tick(ms(START + 50));
         let starts = [starts, linked.carry_out(START + 50, 8)].concat();
@@ -303,7 +305,7 @@
     for ask in [labelled, large] {
         // Right after its start an entry refuses nothing for want of agents.
         let admitted = linked.board.submit(ms(START + 200), ask);
-        let refused = Admitted::Answered(Outcome::NotRun(NotRun::NoFit, ms(1_000)));
+        let refused = SubmitResult::Answered(Outcome::NotRun(NotRunReason::NoFit, ms(1_000)));
         assert_eq!(admitted, refused);
     }
 }
--- a/tests/contract_users_platform.rs
+++ b/tests/contract_users_platform.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use hyper::Request;
 use lovagemill::besteffort::agent::{BackendServer, ListCall, NoListing};
-use lovagemill::decide::besteffort::message::{How, Run, ServerLife};
+use lovagemill::decide::besteffort::message::{Run, RunOutcome, ServerIncarnation};
 use lovagemill::decide::besteffort::slots::{Recipient, StartAnswer};
 use lovagemill::mutex;
 use lovagemill::platform::http as platform_http;
@@ -26,7 +26,7 @@
 /// Whom the orders of the tests are meant for.
 fn life() -> Recipient {
     Recipient {
-        life: ServerLife::named("i-1"),
+        life: ServerIncarnation::with_id("i-1"),
         fence: 1,
     }
 }
@@ -150,8 +150,11 @@
         let listing = (worker.list)(ask()).await.expect("a listing");
         assert_eq!(listing.running, [(run(), 41)]);
         assert_eq!(listing.born_ms, Some(1_790_000_000_123));
-        let hows: Vec<How> = listing.ended.iter().map(|(_, how)| *how).collect();
-        assert_eq!((hows, listing.last_end), (vec![How::Done, How::Gone], 5));
+        let hows: Vec<RunOutcome> = listing.ended.iter().map(|(_, how)| *how).collect();
+        assert_eq!(
+            (hows, listing.last_end),
+            (vec![RunOutcome::Done, RunOutcome::Gone], 5)
+        );
         let cases = [
             (script(Server::Answer, 200, "{}"), NoListing::Silent),
             (
--- a/tests/formats_platform.rs
+++ b/tests/formats_platform.rs
@@ -25,9 +25,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use lovagemill::decide::besteffort::evacuation::Word;
-use lovagemill::decide::besteffort::job::{NotRun, Outcome};
-use lovagemill::decide::besteffort::message::{Backend, FromAgent, FromEntry, How};
+use lovagemill::decide::besteffort::evacuation::DomainState;
+use lovagemill::decide::besteffort::job::{NotRunReason, Outcome};
+use lovagemill::decide::besteffort::message::{AgentMessage, Backend, EntryMessage, RunOutcome};
 use lovagemill::decide::besteffort::slots::{PassedOver, StartAnswer};
 use lovagemill::platform::directory::{Crashes, Listed};
 use lovagemill::platform::routes::{self, Class, Limits, Routes};
@@ -77,9 +77,9 @@
 
 #[test]
 fn messages_and_rows_keep_their_names() {
-    round_trip::<FromAgent>("platform_from_agent.jsonl");
-    round_trip::<FromEntry>("platform_from_entry.jsonl");
-    round_trip::<Word>("platform_evacuation.jsonl");
+    round_trip::<AgentMessage>("platform_from_agent.jsonl");
+    round_trip::<EntryMessage>("platform_from_entry.jsonl");
+    round_trip::<DomainState>("platform_evacuation.jsonl");
     round_trip::<Listed>("platform_row_listed.jsonl");
     round_trip::<Crashes>("platform_row_crashes.jsonl");
     round_trip::<Backend>("platform_row_backend.jsonl");
@@ -209,24 +209,24 @@
 #[test]
 fn names_in_logs_and_metrics_stay() {
     let how = [
-        How::Done,
-        How::Failed,
-        How::Gone,
-        How::NotRun,
-        How::Rejected,
+        RunOutcome::Done,
+        RunOutcome::Failed,
+        RunOutcome::Gone,
+        RunOutcome::NotRun,
+        RunOutcome::Rejected,
     ];
     let not_run = [
-        NotRun::NoWorker,
-        NotRun::NoFit,
-        NotRun::Shrunk,
-        NotRun::Overloaded,
-        NotRun::Stopping,
+        NotRunReason::NoWorker,
+        NotRunReason::NoFit,
+        NotRunReason::Shrunk,
+        NotRunReason::Overloaded,
+        NotRunReason::Stopping,
     ];
     let outcome = [
         Outcome::Complete,
         Outcome::Failed,
         Outcome::GaveUp,
-        Outcome::NotRun(NotRun::NoFit, Duration::ZERO),
+        Outcome::NotRun(NotRunReason::NoFit, Duration::ZERO),
     ];
     let start = [
         StartAnswer::Accepted,
@@ -236,8 +236,8 @@
     ];
     let passed_over = [PassedOver::Heartbeat, PassedOver::Listing];
     let names = json!({
-        "how": how.map(How::name),
-        "not_run": not_run.map(NotRun::name),
+        "how": how.map(RunOutcome::name),
+        "not_run": not_run.map(NotRunReason::name),
         "outcome": outcome.map(|outcome| outcome.name()),
         "start_answer": start.map(StartAnswer::name),
         "passed_over": passed_over.map(PassedOver::name),
--- a/tests/formats_platform/requests.rs
+++ b/tests/formats_platform/requests.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request};
 use lovagemill::besteffort::agent::{self, Agent, ListCall};
 use lovagemill::decide::besteffort::lease::Bounds;
-use lovagemill::decide::besteffort::message::{How, Run, ServerLife};
+use lovagemill::decide::besteffort::message::{Run, RunOutcome, ServerIncarnation};
 use lovagemill::decide::besteffort::slots::Recipient;
 use lovagemill::metrics::Page;
 use lovagemill::mutex;
@@ -104,7 +104,7 @@
         let (addr, seen) = serve("platform_orders.jsonl").await;
         let worker = worker::open(addr);
         let to = || Recipient {
-            life: ServerLife::named("i-1"),
+            life: ServerIncarnation::with_id("i-1"),
             fence: 1,
         };
         let call = || ListCall {
@@ -143,7 +143,11 @@
         let ended: Vec<_> = ended
             .map(|(run, how)| (run.task, run.number, *how))
             .collect();
-        let hows = [(0, 42, How::Done), (1, 43, How::Failed), (2, 44, How::Gone)];
+        let hows = [
+            (0, 42, RunOutcome::Done),
+            (1, 43, RunOutcome::Failed),
+            (2, 44, RunOutcome::Gone),
+        ];
         assert_eq!(ended, hows);
     });
 }
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -75,7 +75,7 @@
 
     fn assert_holds(&self, after: &str) {
         let known = self.agent.backend();
-        assert_eq!(known.life.id, "life", "{after}");
+        assert_eq!(known.incarnation.id, "life", "{after}");
         assert_eq!(known.service, "svc", "{after}");
         assert_eq!((known.size.cpu, known.takes_work), (8_000, true), "{after}");
     }
--- a/tests/support/besteffort.rs
+++ b/tests/support/besteffort.rs
@@ -10,7 +10,8 @@
 use lovagemill::besteffort::line;
 use lovagemill::clock;
 use lovagemill::decide::besteffort::message::{
-    Backend, EntryName, FromAgent, FromEntry, Heartbeat, How, Room, Run, ServerLife, Start,
+    AgentMessage, Backend, EntryIncarnation, EntryMessage, Heartbeat, Room, Run, RunOutcome,
+    ServerIncarnation, Start,
 };
 use lovagemill::decide::besteffort::slots::{Listing, Recipient, Slots, StartAnswer};
 use tokio::net::TcpStream;
@@ -142,7 +143,7 @@
 }
 
 /// A listing on the test's clock.
-pub fn listed(running: Vec<(Run, u8)>, ended: Vec<(Run, How)>) -> Listing {
+pub fn listed(running: Vec<(Run, u8)>, ended: Vec<(Run, RunOutcome)>) -> Listing {
     Listing {
         born_ms: None,
         clock_ms: clock::since_boot().as_millis() as u64,
@@ -153,24 +154,28 @@
 }
 
 /// The first life of an entry.
-pub fn entry(name: &str) -> EntryName {
-    EntryName {
+pub fn entry(name: &str) -> EntryIncarnation {
+    EntryIncarnation {
         entry: name.into(),
-        life: 1,
+        incarnation: 1,
     }
 }
 
 /// How runs have ended, as an entry hears it now.
-pub fn ends(slots: &mut Slots, entry: &EntryName, now: time::Duration) -> Vec<(Run, How)> {
+pub fn ends(
+    slots: &mut Slots,
+    entry: &EntryIncarnation,
+    now: time::Duration,
+) -> Vec<(Run, RunOutcome)> {
     let line = slots.line(entry, now);
     let ended = line.ended.into_iter();
-    ended.map(|end| (end.run, end.how)).collect()
+    ended.map(|end| (end.run, end.outcome)).collect()
 }
 
 /// A life of a backend server that takes work.
 pub fn backend(life: &str) -> Backend {
     Backend {
-        life: ServerLife::named(life),
+        incarnation: ServerIncarnation::with_id(life),
         service: "svc".into(),
         labels: Vec::new(),
         size: Room {
@@ -223,12 +228,16 @@
 
 impl FakeEntry {
     /// Connects a life of an entry to an agent, on the first of its links.
-    pub async fn connect(addr: SocketAddr, life: u64) -> (FakeEntry, FromAgent) {
-        FakeEntry::connect_again(addr, life, 1).await
+    pub async fn connect(addr: SocketAddr, incarnation: u64) -> (FakeEntry, AgentMessage) {
+        FakeEntry::connect_again(addr, incarnation, 1).await
     }
 
     /// The same on a later link.
-    pub async fn connect_again(addr: SocketAddr, life: u64, link: u64) -> (FakeEntry, FromAgent) {
+    pub async fn connect_again(
+        addr: SocketAddr,
+        incarnation: u64,
+        link: u64,
+    ) -> (FakeEntry, AgentMessage) {
         let stream = TcpStream::connect(addr).await.expect("the agent listens");
         let (reader, writer) = line::open(stream).expect("a socket");
         let mut entry = FakeEntry {
@@ -236,14 +245,14 @@
             writer,
             seen_ms: 0,
         };
-        let name = EntryName {
+        let name = EntryIncarnation {
             entry: "entry".into(),
-            life,
+            incarnation,
         };
-        let first = FromEntry {
+        let first = EntryMessage {
             entry: Some(name),
             link,
-            ..FromEntry::default()
+            ..EntryMessage::default()
         };
         entry.writer.write(&first).await.expect("the link is up");
         let hello = entry.read().await;
@@ -252,19 +261,19 @@
 
     /// Waits until the agent has closed the link.
     pub async fn closed(mut self) {
-        while self.reader.read::<FromAgent>().await.is_ok() {}
+        while self.reader.read::<AgentMessage>().await.is_ok() {}
     }
 
     /// Reads a line, and says that it was heard.
-    pub async fn read(&mut self) -> FromAgent {
-        let line: FromAgent = self.reader.read().await.expect("the link is up");
+    pub async fn read(&mut self) -> AgentMessage {
+        let line: AgentMessage = self.reader.read().await.expect("the link is up");
         self.seen_ms = line.now_ms;
-        self.say(FromEntry::default()).await;
+        self.say(EntryMessage::default()).await;
         line
     }
 
     /// Reads until `found` finds what it looks for.
-    pub async fn until<T>(&mut self, found: impl Fn(&FromAgent) -> Option<T>) -> T {
+    pub async fn until<T>(&mut self, found: impl Fn(&AgentMessage) -> Option<T>) -> T {
         loop {
             let line = self.read().await;
             if let Some(found) = found(&line) {
@@ -274,7 +283,7 @@
     }
 
     /// Writes a line with the agent's clock.
-    pub async fn say(&mut self, mut line: FromEntry) {
+    pub async fn say(&mut self, mut line: EntryMessage) {
         line.seen_ms = self.seen_ms;
         // A link that the agent has closed shows at the next read.
         let _ = self.writer.write(&line).await;
@@ -283,9 +292,9 @@
     /// Sends a start.
     pub async fn start(&mut self, run: Run) {
         let starts = vec![start(run, self.seen_ms)];
-        let line = FromEntry {
+        let line = EntryMessage {
             starts,
-            ..FromEntry::default()
+            ..EntryMessage::default()
         };
         self.say(line).await;
     }
