--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -14,8 +14,8 @@
 use xxhash_rust::xxh3;
 
 use crate::backoff;
+use crate::controller::cell_state::{State, Suspicion};
 use crate::controller::roll;
-use crate::controller::standing::{State, Suspicion};
 use crate::decide::head;
 use crate::id;
 use crate::wire::platform::{self, Commit, Condition, Revision, Transaction, Write};
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -1,7 +1,7 @@
 //! Looking at the cells of others: which are vacant or held too long by the dead, and taking them.
 
+use crate::controller::cell_state::Suspicion;
 use crate::controller::ownership::{digest, owner_of, Ownership, Won, SILENCE};
-use crate::controller::standing::Suspicion;
 use crate::decide::inherit;
 use crate::decide::spread;
 use crate::id;
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-use crate::controller::standing::Suspicion;
+use crate::controller::cell_state::Suspicion;
 use crate::entry::core::{Core, Place};
 use crate::entry::peers::PeerLink;
 use crate::id;
--- a/tests/claims_ownership.rs
+++ b/tests/claims_ownership.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex};
 use std::time;
 
+use lovagemill::controller::cell_state::Suspicion;
 use lovagemill::controller::ownership;
-use lovagemill::controller::standing::Suspicion;
 use lovagemill::decide::inherit;
 use lovagemill::id;
 use lovagemill::wire::platform::{self, Transaction};
