--- a/src/bench/decisions.rs
+++ b/src/bench/decisions.rs
@@ -123,8 +123,8 @@
         let now = time::Instant::now();
         let config = Arc::new(configuration());
         let mut owner = owner::Owner::open(1, owner::Policy::default(), config, now, WALL);
-        owner.members(now, Vec::new(), &[]);
-        owner.claims(now, Vec::new());
+        owner.set_members(now, Vec::new(), &[]);
+        owner.set_earlier_claims(now, Vec::new());
         for number in 0..size.agents {
             welcome(&mut owner, now, number, size.slots);
         }
@@ -175,8 +175,8 @@
         };
         let load = load(self.size.slots);
         self.time(|owner, now| {
-            owner.notice(now, &agent, notice::Notice::Answer(answer));
-            owner.load(now, &agent, load);
+            owner.handle_notice(now, &agent, notice::Notice::Answer(answer));
+            owner.update_load(now, &agent, load);
         });
         while self.owner.queue().len() < self.size.waiting {
             self.submit();
@@ -189,8 +189,8 @@
             self.claimed = self.now;
             let claims = std::mem::take(&mut self.claims);
             self.time(|owner, now| {
-                owner.table_seen(now);
-                owner.claimed(now, &claims);
+                owner.note_ownership_proof(now);
+                owner.claims_written(now, &claims);
             });
         }
     }
@@ -229,7 +229,7 @@
         tasks: Vec::new(),
     };
     let id = format_compact!("agent-{number:04}");
-    owner.welcome(now, &id, welcome, load(slots));
+    owner.handle_welcome(now, &id, welcome, load(slots));
 }
 
 fn load(slots: u32) -> notice::Load {
--- a/src/bench/memory.rs
+++ b/src/bench/memory.rs
@@ -67,8 +67,8 @@
     let wall = time::Duration::from_secs(1_700_000_000);
     let config = Arc::new(decisions::configuration());
     let mut owner = owner::Owner::open(1, owner::Policy::default(), config, now, wall);
-    owner.members(now, Vec::new(), &[]);
-    owner.claims(now, Vec::new());
+    owner.set_members(now, Vec::new(), &[]);
+    owner.set_earlier_claims(now, Vec::new());
     owner
 }
 
@@ -102,7 +102,7 @@
                 outcome: task::Outcome::Done(answer()),
                 ran_us: 100_000,
             };
-            owner.notice(now, &"agent-0000".into(), notice::Notice::Answer(answer));
+            owner.handle_notice(now, &"agent-0000".into(), notice::Notice::Answer(answer));
         }
         owner.actions();
     }
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -1,7 +1,7 @@
 //! Writes claims to the table in groups, each conditional on the cell still being owned.
 //!
 //! A claim that a start waits for leaves at once, with all others that wait; one written behind
-//! its start may wait [`GATHER`] for company. Old claims are removed by the same transactions, so
+//! its start may wait [`GATHER_TIME`] for company. Old claims are removed by the same transactions, so
 //! that forgetting costs no message. Each also changes the beat's row, so that an owner that
 //! writes claims needs no beats of its own.
 
@@ -23,7 +23,7 @@
 
 /// How long claims written behind their starts are gathered. It stays well under
 /// [`inherit::TABLE_SIGHT`], since these writes are the owner's sight of the table.
-pub const GATHER: time::Duration = time::Duration::from_millis(900);
+pub const GATHER_TIME: time::Duration = time::Duration::from_millis(900);
 
 /// Most claims in a group.
 const MAX_GROUP: usize = 1_000;
@@ -45,7 +45,7 @@
     /// These claims, which starts wait for, can't be written now.
     pub refused: Box<dyn Fn(&[id::JobKey], code::Code) + Send + Sync>,
     /// The cell has another owner.
-    pub deposed: Box<dyn Fn() + Send + Sync>,
+    pub ownership_lost: Box<dyn Fn() + Send + Sync>,
 }
 
 /// What the writer works on.
@@ -61,12 +61,12 @@
 }
 
 /// A group that is in the table: its row, and when it was written.
-pub type Written = (compact_str::CompactString, time::Duration);
+pub type WrittenGroup = (compact_str::CompactString, time::Duration);
 
 /// Runs until the channel closes or the owner is deposed.
 pub async fn run(
     scope: Scope,
-    mut old: VecDeque<Written>,
+    mut old: VecDeque<WrittenGroup>,
     mut rx: mpsc::UnboundedReceiver<action::Claim>,
     events: Arc<Events>,
 ) {
@@ -76,7 +76,7 @@
         number += 1;
         let key = rows::claim(scope.cell, scope.epoch, number);
         if !write(&scope, &key, &mut old, &mut group, &mut rx, &events).await {
-            (events.deposed)();
+            (events.ownership_lost)();
             return;
         }
         old.push_back((key, clock::since_epoch()));
@@ -91,7 +91,7 @@
     if group.is_empty() && rx.recv_many(group, MAX_GROUP).await == 0 {
         return false;
     }
-    let until = tokio::time::Instant::now() + GATHER;
+    let until = tokio::time::Instant::now() + GATHER_TIME;
     while group.len() < MAX_GROUP && !group.iter().any(|claim| claim.ahead) {
         let room = MAX_GROUP - group.len();
         match tokio::time::timeout_at(until, rx.recv_many(group, room)).await {
@@ -111,7 +111,7 @@
 async fn write(
     scope: &Scope,
     key: &compact_str::CompactString,
-    old: &mut VecDeque<Written>,
+    old: &mut VecDeque<WrittenGroup>,
     group: &mut Vec<action::Claim>,
     rx: &mut mpsc::UnboundedReceiver<action::Claim>,
     events: &Events,
@@ -174,7 +174,7 @@
 fn transaction(
     scope: &Scope,
     key: &compact_str::CompactString,
-    old: &mut VecDeque<Written>,
+    old: &mut VecDeque<WrittenGroup>,
     group: &[action::Claim],
 ) -> Transaction {
     let at_ms = clock::since_epoch().as_millis() as u64;
--- a/src/controller/config.rs
+++ b/src/controller/config.rs
@@ -21,7 +21,7 @@
 
 /// Pause between reads that nothing asked for. Guards against a document that was written without
 /// its version's row: nobody is told of it, and this read finds it all the same.
-pub const POLL: time::Duration = time::Duration::from_secs(60);
+pub const POLL_PAUSE: time::Duration = time::Duration::from_secs(60);
 
 /// Pause between reads before any document was found.
 const FIRST: time::Duration = time::Duration::from_millis(300);
@@ -81,7 +81,7 @@
     }
 
     /// Notes a version that another process has in force or that a row tells of.
-    pub fn hear(&self, version: id::Version) {
+    pub fn note_version(&self, version: id::Version) {
         let mut current = self.lock();
         current.hear(version);
         if current.is_behind() {
@@ -90,7 +90,7 @@
     }
 
     /// Takes a whole configuration that another process has read.
-    pub fn offer(&self, offered: class::Versioned) {
+    pub fn accept_document(&self, offered: class::Versioned) {
         if self.lock().accept(offered) {
             self.news.notify_one();
         }
@@ -101,13 +101,13 @@
         let mut backoff = backoff::open(MIN_PAUSE, MAX_PAUSE);
         let mut reported = 0;
         loop {
-            let mut pause = POLL;
+            let mut pause = POLL_PAUSE;
             if self.wants_read(reported) {
                 pause = match self.read().await {
                     Ok(found) => {
                         backoff.reset();
                         if found {
-                            POLL
+                            POLL_PAUSE
                         } else {
                             FIRST
                         }
@@ -202,7 +202,7 @@
             }
         }
         let version = next.version;
-        self.offer(next);
+        self.accept_document(next);
         Ok(version)
     }
 
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -24,7 +24,7 @@
 /// What the loop reports.
 pub struct Events {
     /// The members, and the lives lost before, as first read after the epoch was raised.
-    pub first: Box<dyn Fn(&HashMap<id::AgentId, rows::Agent>) + Send + Sync>,
+    pub first_read: Box<dyn Fn(&HashMap<id::AgentId, rows::Agent>) + Send + Sync>,
     /// The members as they stand now.
     pub current: Box<dyn Fn(&HashMap<id::AgentId, rows::Agent>) + Send + Sync>,
 }
@@ -42,7 +42,7 @@
         match read(&table, cell).await {
             Ok(mut members) => {
                 if first {
-                    (events.first)(&members);
+                    (events.first_read)(&members);
                     first = false;
                 }
                 members.retain(|_, row| !row.left);
@@ -92,7 +92,7 @@
 }
 
 /// The lives that an owner has to hear of.
-pub fn lives(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::Life> {
+pub fn current_incarnations(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::Life> {
     let life = |(agent, row): (&id::AgentId, &rows::Agent)| inherit::Life {
         agent: agent.clone(),
         incarnation: row.incarnation,
@@ -105,6 +105,6 @@
 }
 
 /// The lives that were lost before.
-pub fn lost(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::LostLife> {
+pub fn lost_incarnations(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::LostLife> {
     members.values().flat_map(|row| row.lost.clone()).collect()
 }
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -22,7 +22,7 @@
 use crate::wire::rows;
 
 /// Beats that have to fail to come before a cell is taken from an owner that is only silent.
-pub const SILENCE: time::Duration = time::Duration::from_secs(3);
+pub const SILENT_AFTER: time::Duration = time::Duration::from_secs(3);
 
 /// Pause between looks while an owner is suspected.
 const RETRY: time::Duration = time::Duration::from_millis(150);
@@ -44,7 +44,7 @@
 
 /// A cell that this entry owns.
 #[derive(Clone, Copy, Debug)]
-pub struct Won {
+pub struct OwnedCell {
     /// The cell.
     pub cell: id::Cell,
     /// The epoch of the ownership.
@@ -54,19 +54,19 @@
     /// When the operation began that showed the ownership.
     pub begun: time::Instant,
     /// Until when the owner before may have started work ahead of its claims.
-    pub doubt: time::Instant,
+    pub unclaimed_starts_until: time::Instant,
 }
 
 /// What the loop reports.
 pub struct Events {
     /// A cell is owned by this entry.
-    pub won: Box<dyn Fn(Won) + Send + Sync>,
+    pub owned: Box<dyn Fn(OwnedCell) + Send + Sync>,
     /// The cell is owned by another entry.
-    pub other: Box<dyn Fn(id::Cell, &rows::Owner) + Send + Sync>,
+    pub owned_by_other: Box<dyn Fn(id::Cell, &rows::Owner) + Send + Sync>,
     /// The owner was seen in the table by an operation that began at the time given.
-    pub seen: Box<dyn Fn(id::Cell, time::Instant) + Send + Sync>,
+    pub proved: Box<dyn Fn(id::Cell, time::Instant) + Send + Sync>,
     /// The watched rows were read and have changed since the last read.
-    pub head: Box<dyn Fn(&[platform::Row]) + Send + Sync>,
+    pub head_changed: Box<dyn Fn(&[platform::Row]) + Send + Sync>,
 }
 
 /// The ownership of one entry.
@@ -119,23 +119,23 @@
     }
 
     /// Reports that the owner of a cell is heard again.
-    pub fn trust(&self, cell: id::Cell) {
+    pub fn clear_suspicion(&self, cell: id::Cell) {
         self.change(cell, |state| state.suspicion = None);
     }
 
     /// Looks at the cells at once, for example because a message was answered "not the owner".
-    pub fn look(&self) {
+    pub fn check_now(&self) {
         self.wake.notify_one();
     }
 
     /// Forgets that a cell was owned; another entry has it.
-    pub fn deposed(&self, cell: id::Cell) {
+    pub fn cell_lost(&self, cell: id::Cell) {
         self.change(cell, |state| state.owned = None);
         self.wake.notify_one();
     }
 
     /// Forgets that a cell was owned until the next look finds it again.
-    pub fn forget(&self, cell: id::Cell) {
+    pub fn forget_cell(&self, cell: id::Cell) {
         self.change(cell, |state| {
             state.owned = None;
             state.served = None;
@@ -171,7 +171,7 @@
     }
 
     /// Takes cells again, after [`Ownership::resign`] found nobody else to take them.
-    pub fn resume(&self) {
+    pub fn resume_taking(&self) {
         for cell in 0..self.cells {
             self.change(cell, |state| state.resigned = false);
         }
@@ -180,12 +180,12 @@
 
     /// Notes that an operation which began at `begun` proved the ownership and changed the beat's
     /// row, so that no beat of its own is due for a while.
-    pub fn proved(&self, cell: id::Cell, begun: time::Instant) {
+    pub fn note_proof(&self, cell: id::Cell, begun: time::Instant) {
         self.change(cell, |state| state.proved = state.proved.max(Some(begun)));
     }
 
     /// Notes what another entry read of the watched rows.
-    pub fn hear(&self, digest: head::Digest, age: time::Duration) {
+    pub fn note_digest(&self, digest: head::Digest, age: time::Duration) {
         let news = self.sight().hear(time::Instant::now(), digest, age);
         if news {
             self.wake.notify_one();
@@ -193,7 +193,7 @@
     }
 
     /// What other entries may be told of the watched rows.
-    pub fn tell(&self) -> Option<(head::Digest, time::Duration)> {
+    pub fn newest_digest(&self) -> Option<(head::Digest, time::Duration)> {
         self.sight().tell(time::Instant::now())
     }
 
@@ -266,10 +266,10 @@
             let committed = (self.table.commit)(tx).await;
             match self.note(committed) {
                 Ok(Commit::Done(_)) => {
-                    self.proved(cell, now);
-                    (self.events.seen)(cell, now);
+                    self.note_proof(cell, now);
+                    (self.events.proved)(cell, now);
                 }
-                Ok(Commit::Conflict(_)) => self.deposed(cell),
+                Ok(Commit::Conflict(_)) => self.cell_lost(cell),
                 Err(_) => {}
             }
         }
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -1,7 +1,7 @@
 //! Looking at the cells of others: which are vacant or held too long by the dead, and taking them.
 
 use crate::controller::cell_state::Suspicion;
-use crate::controller::ownership::{digest, owner_of, Ownership, Won, SILENCE};
+use crate::controller::ownership::{digest, owner_of, OwnedCell, Ownership, SILENT_AFTER};
 use crate::decide::inherit;
 use crate::decide::spread;
 use crate::id;
@@ -19,7 +19,7 @@
             return;
         };
         if self.sight().read(begun, digest(&found)) {
-            (self.events.head)(&found);
+            (self.events.head_changed)(&found);
         }
         let by_key: HashMap<_, _> = found.iter().map(|row| (row.key.clone(), row)).collect();
         let mut holdings = self.holdings(&found).await;
@@ -42,7 +42,7 @@
         if !self.spreads() || self.change(0, |state| state.resigned) {
             return spread::Holdings::default();
         }
-        let alive = self.roll.call().await;
+        let alive = self.roll.refresh().await;
         let owners: Vec<_> = (0..self.cells)
             .filter_map(|cell| Some((cell, owner_of(found, cell)?.entry)))
             .collect();
@@ -104,13 +104,13 @@
                 return self.take(cell, revision, owner.epoch).await;
             }
             let now = time::Instant::now();
-            self.own(Won {
+            self.own(OwnedCell {
                 cell,
                 epoch: owner.epoch,
                 revision,
                 // A lost answer hides when the cell was won, so nothing is known of its sight.
                 begun: now.checked_sub(inherit::TABLE_SIGHT).unwrap_or(now),
-                doubt: now + inherit::TABLE_SIGHT,
+                unclaimed_starts_until: now + inherit::TABLE_SIGHT,
             });
             return false;
         }
@@ -120,7 +120,7 @@
             return self.has_waited(cell, holdings) && self.take(cell, revision, owner.epoch).await;
         }
         self.change(cell, |state| state.vacant = None);
-        (self.events.other)(cell, &owner);
+        (self.events.owned_by_other)(cell, &owner);
         false
     }
 
@@ -146,7 +146,7 @@
         let revision = row.map_or(0, |row| row.revision);
         match state.beat_seen {
             Some((of, seen, since)) if (of, seen) == (epoch, revision) => {
-                since.elapsed() >= SILENCE
+                since.elapsed() >= SILENT_AFTER
             }
             _ => {
                 let now = time::Instant::now();
@@ -184,15 +184,15 @@
         match (self.table.commit)(tx).await {
             Ok(Commit::Done(revision)) => {
                 let since = watched.map_or_else(time::Instant::now, |(_, since)| since);
-                let doubt = since + inherit::TABLE_SIGHT;
+                let unclaimed_starts_until = since + inherit::TABLE_SIGHT;
                 self.moves.lock().expect("the ownership is whole").taken =
                     Some(time::Instant::now());
-                self.own(Won {
+                self.own(OwnedCell {
                     cell,
                     epoch: epoch + 1,
                     revision,
                     begun,
-                    doubt,
+                    unclaimed_starts_until,
                 });
                 true
             }
@@ -211,10 +211,10 @@
         epoch: id::Epoch,
     ) -> Option<(Revision, time::Instant)> {
         let (of, revision, since) = self.change(cell, |state| state.beat_seen)?;
-        (of == epoch && since.elapsed() >= SILENCE).then_some((revision, since))
+        (of == epoch && since.elapsed() >= SILENT_AFTER).then_some((revision, since))
     }
 
-    pub(super) fn own(&self, won: Won) {
+    pub(super) fn own(&self, won: OwnedCell) {
         let owned = (won.epoch, won.revision);
         let news = self.change(won.cell, |state| {
             let news = state.owned != Some(owned);
@@ -226,7 +226,7 @@
             news
         });
         if news {
-            (self.events.won)(won);
+            (self.events.owned)(won);
         }
     }
 }
--- a/src/controller/roll.rs
+++ b/src/controller/roll.rs
@@ -46,7 +46,7 @@
 
 impl Roll {
     /// Writes this entry's row and reads all; returns who is alive, this entry included.
-    pub async fn call(&self) -> Vec<id::EntryId> {
+    pub async fn refresh(&self) -> Vec<id::EntryId> {
         let Some(beats) = self.next_beat() else {
             return self.alive();
         };
--- a/src/decide/owner/agents.rs
+++ b/src/decide/owner/agents.rs
@@ -16,7 +16,7 @@
 
 impl Owner {
     /// Takes the first notice of an agent's link.
-    pub fn welcome(
+    pub fn handle_welcome(
         &mut self,
         now: time::Instant,
         id: &id::AgentId,
@@ -35,7 +35,7 @@
         let same = known.filter(|(incarnation, ..)| *incarnation == welcome.incarnation);
         if known.is_some() && same.is_none() {
             // The agent came back with an empty memory; what it had started nobody can tell.
-            self.lose(now, id);
+            self.give_up_agent(now, id);
         }
         let (sent, taken) = same.map_or((0, task::Needs::default()), |(_, sent, taken)| {
             (sent, taken)
@@ -61,13 +61,18 @@
     }
 
     /// Takes the load that rode on an agent's message.
-    pub fn load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
+    pub fn update_load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
         self.fleet.load(now, id, load);
         self.dispatch(now);
     }
 
     /// Takes a notice of an agent, apart from its welcome.
-    pub fn notice(&mut self, now: time::Instant, agent: &id::AgentId, notice: notice::Notice) {
+    pub fn handle_notice(
+        &mut self,
+        now: time::Instant,
+        agent: &id::AgentId,
+        notice: notice::Notice,
+    ) {
         match notice {
             notice::Notice::Answer(answer) => self.answer(now, agent, answer),
             notice::Notice::Refused(id, code) => self.refused(now, agent, &id, code),
@@ -77,12 +82,12 @@
     }
 
     /// Notes that an agent's link is gone.
-    pub fn link_lost(&mut self, now: time::Instant, id: &id::AgentId) {
+    pub fn agent_link_lost(&mut self, now: time::Instant, id: &id::AgentId) {
         self.fleet.silence(now, id);
     }
 
     /// Gives an agent up: what it may have started is answered as unknown.
-    pub fn lose(&mut self, now: time::Instant, id: &id::AgentId) {
+    pub fn give_up_agent(&mut self, now: time::Instant, id: &id::AgentId) {
         self.fleet.remove(now, id);
         self.health.forget(id);
         for task in self.outstanding.remove(id).unwrap_or_default() {
@@ -93,9 +98,9 @@
 
     /// Gives up agents that have been silent for long, and tries barred ones again.
     pub(super) fn tend_agents(&mut self, now: time::Instant) {
-        if let Some(before) = now.checked_sub(owner::LOST_AFTER) {
+        if let Some(before) = now.checked_sub(owner::AGENT_LOST_AFTER) {
             while let Some(id) = self.fleet.silent_since(before) {
-                self.lose(now, &id);
+                self.give_up_agent(now, &id);
             }
         }
         for id in self.health.due(now) {
--- a/src/decide/owner/endings.rs
+++ b/src/decide/owner/endings.rs
@@ -155,10 +155,11 @@
 
     /// Drops endings that are old or too many, and later their keys too.
     pub(super) fn forget(&mut self, now: time::Instant) {
-        let is_old = |at: time::Instant| now.saturating_duration_since(at) >= owner::KEEP;
+        let is_old =
+            |at: time::Instant| now.saturating_duration_since(at) >= owner::ENDING_RETENTION;
         while let Some((at, key)) = self.ended.front() {
-            let full =
-                self.ended.len() > owner::MAX_KEPT || self.kept_bytes > owner::MAX_KEPT_BYTES;
+            let full = self.ended.len() > owner::MAX_KEPT_ENDINGS
+                || self.kept_bytes > owner::MAX_KEPT_BYTES;
             if !is_old(*at) && !full {
                 break;
             }
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -31,16 +31,16 @@
 use crate::task;
 
 /// Silence of an agent's link after which its tasks are given up as lost.
-pub const LOST_AFTER: time::Duration = time::Duration::from_secs(2);
+pub const AGENT_LOST_AFTER: time::Duration = time::Duration::from_secs(2);
 
 /// How long an ended job's answers stay at the agents, for a caller that lost the owner with it.
 pub const ACKNOWLEDGE_AFTER: time::Duration = time::Duration::from_secs(10);
 
 /// How long an ending is kept for resubmissions.
-pub const KEEP: time::Duration = ledger::RESUBMIT;
+pub const ENDING_RETENTION: time::Duration = ledger::RESUBMIT;
 
-/// Most ended jobs whose endings are kept; of older ones only the key is, until [`KEEP`] is over.
-pub const MAX_KEPT: usize = 20_000;
+/// Most ended jobs whose endings are kept; of older ones only the key is, until [`ENDING_RETENTION`] is over.
+pub const MAX_KEPT_ENDINGS: usize = 20_000;
 
 /// Most bytes of the inputs and answers of ended jobs that are kept.
 pub const MAX_KEPT_BYTES: usize = 32 * 1024 * 1024;
@@ -137,7 +137,7 @@
     ///
     /// Guards against a pause between winning the cell and opening its owner: what was seen before
     /// the pause proves nothing after it.
-    pub fn took_over(&mut self, begun: time::Instant, doubt: time::Duration) {
+    pub fn set_takeover(&mut self, begun: time::Instant, doubt: time::Duration) {
         self.table_seen = begun;
         self.inheritance.doubt_until(doubt);
     }
@@ -180,12 +180,12 @@
     }
 
     /// Notes that the owner saw itself in the table by an operation that began at `begun`.
-    pub fn table_seen(&mut self, begun: time::Instant) {
+    pub fn note_ownership_proof(&mut self, begun: time::Instant) {
         self.table_seen = self.table_seen.max(begun);
     }
 
     /// Takes the members of the cell, read after the epoch was raised.
-    pub fn members(
+    pub fn set_members(
         &mut self,
         now: time::Instant,
         lives: Vec<inherit::Life>,
@@ -196,7 +196,7 @@
     }
 
     /// Takes the claims of earlier owners, read after the epoch was raised.
-    pub fn claims(&mut self, now: time::Instant, claims: Vec<inherit::Claimed>) {
+    pub fn set_earlier_claims(&mut self, now: time::Instant, claims: Vec<inherit::Claimed>) {
         self.inheritance.claims(claims);
         self.settle(now);
     }
@@ -253,7 +253,7 @@
     }
 
     /// Notes that claims are in the table; tasks that waited for them may start.
-    pub fn claimed(&mut self, now: time::Instant, claims: &[action::Claim]) {
+    pub fn claims_written(&mut self, now: time::Instant, claims: &[action::Claim]) {
         for action::Claim { key, digest, .. } in claims {
             let Some(job) = self.jobs.get_mut(key) else {
                 continue;
@@ -272,7 +272,7 @@
     }
 
     /// Notes that claims can't be written now: what waits for them is given up, not run.
-    pub fn claim_refused(&mut self, now: time::Instant, keys: &[id::JobKey], reason: code::Code) {
+    pub fn claims_refused(&mut self, now: time::Instant, keys: &[id::JobKey], reason: code::Code) {
         for key in keys {
             let awaited = self
                 .jobs
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -59,7 +59,7 @@
     let mut owner = owner::Owner::open(scope.epoch, scope.policy, scope.config.clone(), now, wall);
     let ahead = scope.doubt.saturating_duration_since(now);
     let behind = now.saturating_duration_since(scope.doubt);
-    owner.took_over(scope.begun, (wall + ahead).saturating_sub(behind));
+    owner.set_takeover(scope.begun, (wall + ahead).saturating_sub(behind));
     let (tx, rx) = mpsc::unbounded_channel();
     let spans = spans::Owner {
         entry: scope.entry.clone(),
@@ -110,7 +110,7 @@
 
     /// Notes that the ownership was seen in the table.
     pub fn table_seen(&self, begun: time::Instant) {
-        self.with(|owner, _| owner.table_seen(begun));
+        self.with(|owner, _| owner.note_ownership_proof(begun));
     }
 
     /// Notes the revision of the row that every join and leave changes.
@@ -167,7 +167,7 @@
             .collect();
         self.with(|owner, now| {
             for id in &left {
-                owner.lose(now, id);
+                owner.give_up_agent(now, id);
             }
         });
     }
@@ -315,14 +315,14 @@
                     tx.incarnation.store(welcome.incarnation, Ordering::SeqCst);
                     self.use_link(id, tx);
                     let load = load.take().unwrap_or_default();
-                    self.with(|owner, now| owner.welcome(now, id, welcome, load));
+                    self.with(|owner, now| owner.handle_welcome(now, id, welcome, load));
                 }
                 notice::Notice::Stale(epoch) if epoch > self.scope.epoch => (self.scope.deposed)(),
-                other => self.with(|owner, now| owner.notice(now, id, other)),
+                other => self.with(|owner, now| owner.handle_notice(now, id, other)),
             }
         }
         self.with(|owner, now| match load {
-            Some(load) => owner.load(now, id, load),
+            Some(load) => owner.update_load(now, id, load),
             None => owner.dispatch(now),
         });
     }
@@ -332,7 +332,7 @@
         if let Some(link) = self.links.lock().expect("the links are whole").get_mut(id) {
             link.close();
         }
-        self.with(|owner, now| owner.link_lost(now, id));
+        self.with(|owner, now| owner.agent_link_lost(now, id));
     }
 
     /// Notes a connection that is being made to an agent.
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -43,16 +43,16 @@
             };
             (cell.scope().proved)(begun);
             cell.with(|owner, now| {
-                owner.table_seen(begun);
-                owner.claimed(now, claims);
+                owner.note_ownership_proof(begun);
+                owner.claims_written(now, claims);
             });
         }),
         refused: Box::new(move |keys, code| {
             if let Some(cell) = refused.upgrade() {
-                cell.with(|owner, now| owner.claim_refused(now, keys, code));
+                cell.with(|owner, now| owner.claims_refused(now, keys, code));
             }
         }),
-        deposed: Box::new(move || {
+        ownership_lost: Box::new(move || {
             if let Some(cell) = deposed.upgrade() {
                 (cell.scope().deposed)();
             }
@@ -61,12 +61,12 @@
 }
 
 /// Reads the claims of earlier owners; returns the rows, oldest first.
-async fn inherit(cell: &Cell) -> Vec<claims::Written> {
+async fn inherit(cell: &Cell) -> Vec<claims::WrittenGroup> {
     let mut backoff = backoff::open(MIN_PAUSE, MAX_PAUSE);
     loop {
         match read(cell).await {
             Ok((claims, old)) => {
-                cell.with(|owner, now| owner.claims(now, claims));
+                cell.with(|owner, now| owner.set_earlier_claims(now, claims));
                 return old;
             }
             Err(e) => log::warn!("claims of cell {} can't be read: {e}", cell.scope().cell),
@@ -75,7 +75,7 @@
     }
 }
 
-async fn read(cell: &Cell) -> anyhow::Result<(Vec<inherit::Claimed>, Vec<claims::Written>)> {
+async fn read(cell: &Cell) -> anyhow::Result<(Vec<inherit::Claimed>, Vec<claims::WrittenGroup>)> {
     let found = (cell.scope().table.scan)(rows::claims(cell.scope().cell)).await;
     let found = found.map_err(|e| anyhow!("{e:?}"))?;
     let mut all = Vec::new();
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -192,7 +192,7 @@
             if lost_since.get_or_insert(now).elapsed() >= self.patience(&submission) {
                 return Arc::new(submission::Ending::Failed(lost(handed_over)));
             }
-            self.ownership.look();
+            self.ownership.check_now();
             let _ = tokio::time::timeout(LOOK_AGAIN, self.moved.notified()).await;
         }
     }
@@ -216,7 +216,7 @@
             if let Some(ending) = ending {
                 return ending;
             }
-            self.ownership.look();
+            self.ownership.check_now();
             let _ = tokio::time::timeout(LOOK_AGAIN, self.moved.notified()).await;
         }
         // Whoever owns the job may have run it.
@@ -234,12 +234,12 @@
     }
 
     /// Takes up a cell that this entry has won.
-    pub fn won(self: &Arc<Self>, won: ownership::Won) {
+    pub fn won(self: &Arc<Self>, won: ownership::OwnedCell) {
         let (cell, epoch) = (won.cell, won.epoch);
         let Some(config) = self.config.get() else {
             // Without a configuration nothing may be served. Forgetting the ownership makes the
             // look after the first configuration report it again.
-            self.ownership.forget(cell);
+            self.ownership.forget_cell(cell);
             return;
         };
         log::info!("this entry owns cell {cell} at epoch {epoch}");
@@ -250,7 +250,7 @@
             epoch,
             revision: won.revision,
             begun: won.begun,
-            doubt: won.doubt,
+            doubt: won.unclaimed_starts_until,
             entry: self.cfg.id.clone(),
             table: self.platform.table.clone(),
             messages: self.messages.clone(),
@@ -258,12 +258,12 @@
             config,
             deposed: Box::new(move || {
                 if let Some(ownership) = ownership.upgrade() {
-                    ownership.deposed(cell);
+                    ownership.cell_lost(cell);
                 }
             }),
             proved: Box::new(move |begun| {
                 if let Some(ownership) = proving.upgrade() {
-                    ownership.proved(cell, begun);
+                    ownership.note_proof(cell, begun);
                 }
             }),
         });
@@ -304,12 +304,12 @@
         self.ownership.resign().await;
         let deadline = tokio::time::Instant::now() + HAND_OVER;
         while self.owns_any() && tokio::time::Instant::now() < deadline {
-            self.ownership.look();
+            self.ownership.check_now();
             let _ = tokio::time::timeout(LOOK_AGAIN, self.moved.notified()).await;
         }
         if self.owns_any() {
             // No other entry is there; what is in flight is brought to its end here.
-            self.ownership.resume();
+            self.ownership.resume_taking();
         }
         let idle = async {
             while self.in_flight() > 0 {
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -21,7 +21,7 @@
         }
         if config.version == 1 || !self.owns_any() {
             // Cells that were won before there was a configuration are taken up now.
-            self.ownership.look();
+            self.ownership.check_now();
         }
         self.peers.announce_config();
     }
@@ -29,12 +29,12 @@
     /// Takes what another entry knows of the watched rows.
     pub fn hear_head(&self, head: &peer::Head) {
         let age = time::Duration::from_millis(head.age_ms);
-        self.ownership.hear(head.digest, age);
+        self.ownership.note_digest(head.digest, age);
     }
 
     /// What other entries may be told of the watched rows.
     pub fn tell_head(&self) -> Option<peer::Head> {
-        let (digest, age) = self.ownership.tell()?;
+        let (digest, age) = self.ownership.newest_digest()?;
         Some(peer::Head {
             digest,
             age_ms: age.as_millis() as u64,
@@ -46,7 +46,7 @@
         for row in found {
             if row.key == rows::CONFIG_VERSION {
                 let head = serde_json::from_str::<rows::ConfigHead>(&row.value);
-                self.config.hear(head.unwrap_or_default().version);
+                self.config.note_version(head.unwrap_or_default().version);
             }
         }
         for (cell, place) in self.places().into_iter().enumerate() {
@@ -65,17 +65,17 @@
     let (won, other, seen) = (core.clone(), core.clone(), core.clone());
     let head = core.clone();
     ownership::Events {
-        won: Box::new(move |cell| {
+        owned: Box::new(move |cell| {
             if let Some(core) = won.upgrade() {
                 core.won(cell);
             }
         }),
-        other: Box::new(move |cell, owner| {
+        owned_by_other: Box::new(move |cell, owner| {
             if let Some(core) = other.upgrade() {
                 core.other(cell, owner);
             }
         }),
-        seen: Box::new(move |cell, begun| {
+        proved: Box::new(move |cell, begun| {
             let Some(core) = seen.upgrade() else {
                 return;
             };
@@ -83,7 +83,7 @@
                 owner.table_seen(begun);
             }
         }),
-        head: Box::new(move |found| {
+        head_changed: Box::new(move |found| {
             if let Some(core) = head.upgrade() {
                 core.head_changed(found);
             }
--- a/src/entry/inward.rs
+++ b/src/entry/inward.rs
@@ -78,7 +78,7 @@
 }
 
 fn take(core: &Arc<Core>, inward: &Inward, down: peer::Down) {
-    core.config.hear(down.config);
+    core.config.note_version(down.config);
     core.peers.note_version(&down.entry, down.config);
     for item in down.items {
         match item {
@@ -97,7 +97,7 @@
                 }
             }
             Passed::WantConfig(version) => give_config(core, inward, version),
-            Passed::Config(config) => core.config.offer(*config),
+            Passed::Config(config) => core.config.accept_document(*config),
             Passed::Heartbeat => {}
         }
     }
--- a/src/entry/owning.rs
+++ b/src/entry/owning.rs
@@ -31,13 +31,13 @@
 fn membership_events(cell: &Arc<Cell>) -> membership::Events {
     let (first, current) = (Arc::downgrade(cell), Arc::downgrade(cell));
     membership::Events {
-        first: Box::new(move |members| {
+        first_read: Box::new(move |members| {
             let Some(cell) = first.upgrade() else {
                 return;
             };
-            let lives = membership::lives(members);
-            let lost = membership::lost(members);
-            cell.with(|owner, now| owner.members(now, lives, &lost));
+            let lives = membership::current_incarnations(members);
+            let lost = membership::lost_incarnations(members);
+            cell.with(|owner, now| owner.set_members(now, lives, &lost));
         }),
         current: Box::new(move |members| {
             if let Some(cell) = current.upgrade() {
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -48,7 +48,7 @@
             // that don't come, and the sooner they are watched the sooner the cell is taken.
             core.ownership.suspect(cell, epoch, Suspicion::Silent);
         } else {
-            core.ownership.trust(cell);
+            core.ownership.clear_suspicion(cell);
         }
         return;
     }
@@ -60,7 +60,7 @@
     tokio::spawn(async move {
         let connected = connect(&core, &addr, &link).await;
         match &connected {
-            Ok(_) => core.ownership.trust(cell),
+            Ok(_) => core.ownership.clear_suspicion(cell),
             Err(_) => {
                 let suspicion = match reach::probe(&addr).await {
                     reach::Reach::Refused => Suspicion::Refusing,
@@ -121,7 +121,7 @@
     let Some(core) = core.upgrade() else {
         return;
     };
-    core.config.hear(up.config);
+    core.config.note_version(up.config);
     core.peers.note_version(&up.entry, up.config);
     if let Some(head) = &up.head {
         core.hear_head(head);
@@ -136,7 +136,7 @@
                     link.give_config(&config);
                 }
             }
-            Returned::Config(config) => core.config.offer(*config),
+            Returned::Config(config) => core.config.accept_document(*config),
             Returned::Versions(mut versions) => {
                 versions.remove(&core.cfg.id);
                 core.peers.note_versions(versions);
--- a/tests/claims_forgotten.rs
+++ b/tests/claims_forgotten.rs
@@ -20,7 +20,7 @@
     let first = fake.submit("school", support::tasks(1, 10, 10));
     fake.pass(time::Duration::from_millis(50));
     assert!(fake.is_complete(first));
-    while fake.endings.len() <= owner::MAX_KEPT + 1 {
+    while fake.endings.len() <= owner::MAX_KEPT_ENDINGS + 1 {
         for _ in 0..500 {
             fake.submit("network", support::tasks(1, 1, 1));
         }
@@ -71,8 +71,8 @@
         tasks: 1,
         at_ms: 1_699_999_999_000,
     };
-    owner.members(now, Vec::new(), &[]);
-    owner.claims(now, vec![claim]);
+    owner.set_members(now, Vec::new(), &[]);
+    owner.set_earlier_claims(now, vec![claim]);
     owner.cancel(now, &"school/1".into(), 1);
     let replies = owner.actions();
     let [lovagemill::decide::action::Action::Reply(1, ending)] = replies.as_slice() else {
--- a/tests/claims_ownership.rs
+++ b/tests/claims_ownership.rs
@@ -14,7 +14,7 @@
 use support::memory::{Fault, Memory, Operation};
 use tokio::sync::mpsc;
 
-type Wins = mpsc::UnboundedReceiver<ownership::Won>;
+type Wins = mpsc::UnboundedReceiver<ownership::OwnedCell>;
 
 /// One entry over a platform whose next write meets the fault given.
 fn open(memory: &Memory) -> (Arc<ownership::Ownership>, Wins, Arc<Mutex<Fault>>) {
@@ -36,17 +36,17 @@
     };
     let (tx, wins) = mpsc::unbounded_channel();
     let events = ownership::Events {
-        won: Box::new(move |won| {
+        owned: Box::new(move |won| {
             let _ = tx.send(won);
         }),
-        other: Box::new(|_, _| {}),
-        seen: Box::new(|_, _| {}),
-        head: Box::new(|_| {}),
+        owned_by_other: Box::new(|_, _| {}),
+        proved: Box::new(|_, _| {}),
+        head_changed: Box::new(|_| {}),
     };
     (ownership::open(platform.table, candidate, 1, events), wins)
 }
 
-async fn next_win(wins: &mut Wins) -> ownership::Won {
+async fn next_win(wins: &mut Wins) -> ownership::OwnedCell {
     let won = tokio::time::timeout(support::HANG, wins.recv()).await;
     won.expect("it doesn't hang").expect("the loop runs")
 }
@@ -78,10 +78,10 @@
     assert_eq!(next(&mut wins).await, 1);
     *fault.lock().unwrap() = Fault::Down;
     ownership.resign().await;
-    ownership.resume();
-    ownership.look();
+    ownership.resume_taking();
+    ownership.check_now();
     // Also where something else let it go.
-    ownership.deposed(0);
+    ownership.cell_lost(0);
     assert_eq!(next(&mut wins).await, 2);
     running.abort();
 }
@@ -124,7 +124,7 @@
     let woke = woke.lock().unwrap().expect("the owner woke");
     assert_eq!(won.epoch, 6);
     assert!(
-        won.doubt >= woke + inherit::TABLE_SIGHT,
+        won.unclaimed_starts_until >= woke + inherit::TABLE_SIGHT,
         "doubt ends too soon"
     );
 }
--- a/tests/claims_writer.rs
+++ b/tests/claims_writer.rs
@@ -52,7 +52,7 @@
                 let _ = tell_refused.send(key.clone());
             }
         }),
-        deposed: Box::new(|| panic!("the cell is still owned")),
+        ownership_lost: Box::new(|| panic!("the cell is still owned")),
     };
     let scope = claims::Scope {
         table: platform.table,
--- a/tests/config_force.rs
+++ b/tests/config_force.rs
@@ -202,9 +202,9 @@
         let config = config::open(table);
         tokio::spawn(config.clone().run(quiet()));
         support::until("a version", || config.version() == 3).await;
-        config.hear(4);
+        config.note_version(4);
         support::until("a late read", || reads.load(Ordering::SeqCst) >= 2).await;
-        config.offer(class::Versioned::default());
+        config.accept_document(class::Versioned::default());
         assert_eq!(config.version(), 3);
         assert_eq!(config.get().unwrap().document.classes[0].target_ms, 3);
     });
--- a/tests/decide_placement.rs
+++ b/tests/decide_placement.rs
@@ -42,7 +42,7 @@
 fn job_for_an_absent_worker_waits_its_target_at_most() {
     let mut fake = fake::open(2);
     fake.join("large", accelerators(2));
-    fake.owner.lose(fake.now, &"large".into());
+    fake.owner.give_up_agent(fake.now, &"large".into());
     let early = fake.submit("town", needing(1, 100, accelerators(1)));
     fake.pass(Duration::from_secs(1));
     assert!(!fake.endings.contains_key(&early));
@@ -50,7 +50,7 @@
     fake.pass(Duration::from_secs(1));
     assert!(fake.is_complete(early));
 
-    fake.owner.lose(fake.now, &"large".into());
+    fake.owner.give_up_agent(fake.now, &"large".into());
     let late = fake.submit("town", needing(1, 100, accelerators(1)));
     fake.pass(fake::TARGET);
     assert_eq!(fake.refusal(late).map(|r| r.code), Some(Code::Expired));
@@ -80,7 +80,7 @@
         fake.submit("town", fake::tasks(9, 70, 70));
         fake.pass(Duration::from_millis(90));
     }
-    fake.owner.lose(fake.now, &"agent-01".into());
+    fake.owner.give_up_agent(fake.now, &"agent-01".into());
     fake.pass(Duration::from_secs(4));
     assert_eq!(fake.owner.fleet().slots(), 24);
     assert_eq!(fake.owner.fleet().free_slots(), 24);
--- a/tests/decide_release.rs
+++ b/tests/decide_release.rs
@@ -23,7 +23,7 @@
 fn a_complete_job_keeps_its_answer_and_drops_its_inputs() {
     let mut fake = decide_support::open(2);
     let whole = submission(7);
-    fake.owner.table_seen(fake.now);
+    fake.owner.note_ownership_proof(fake.now);
     fake.owner.submit(fake.now, whole.clone(), 1);
     fake.pass(time::Duration::from_secs(2));
     assert!(fake.is_complete(1));
@@ -49,11 +49,11 @@
 fn a_job_whose_ending_made_room_for_others_never_starts_again() {
     let mut fake = decide_support::open(11);
     let whole = submission(7);
-    fake.owner.table_seen(fake.now);
+    fake.owner.note_ownership_proof(fake.now);
     fake.owner.submit(fake.now, whole.clone(), u64::MAX);
     fake.pass(time::Duration::from_secs(1));
     let starts = fake.starts.len();
-    let others = owner::MAX_KEPT + 1;
+    let others = owner::MAX_KEPT_ENDINGS + 1;
     for _ in 0..others / 80 + 1 {
         for _ in 0..80 {
             fake.submit("mill", decide_support::tasks(1, 1, 1));
@@ -62,7 +62,7 @@
     }
     fake.pass(time::Duration::from_secs(1));
     let before = fake.starts.len();
-    assert!(before - starts > owner::MAX_KEPT, "{before}");
+    assert!(before - starts > owner::MAX_KEPT_ENDINGS, "{before}");
     fake.owner.submit(fake.now, whole, u64::MAX - 1);
     fake.owner.submit(fake.now, submission(8), u64::MAX - 2);
     fake.owner
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -108,8 +108,8 @@
     let wall = time::Duration::from_secs(1_700_000_000);
     let policy = owner::Policy::default();
     let mut owner = owner::Owner::open(1, policy, config(), begun, wall);
-    owner.members(begun, Vec::new(), &[]);
-    owner.claims(begun, Vec::new());
+    owner.set_members(begun, Vec::new(), &[]);
+    owner.set_earlier_claims(begun, Vec::new());
     let mut fake = Fake {
         owner,
         begun,
@@ -156,7 +156,8 @@
             running: 0,
             draining: false,
         };
-        self.owner.welcome(self.now, &id.into(), welcome, load);
+        self.owner
+            .handle_welcome(self.now, &id.into(), welcome, load);
         self.act();
     }
 
@@ -179,7 +180,7 @@
             digest: first,
             ..submission(&key(account, first), Some(1_700_000_000_000), tasks)
         };
-        self.owner.table_seen(self.now);
+        self.owner.note_ownership_proof(self.now);
         self.owner.submit(self.now, Arc::new(submission), number);
         self.act();
         number
@@ -268,7 +269,7 @@
                 ran_us: ran.as_micros() as u64,
             }),
         };
-        self.owner.notice(self.now, agent, notice);
+        self.owner.handle_notice(self.now, agent, notice);
         self.owner.dispatch(self.now);
         self.act();
     }
--- a/tests/ended_jobs.rs
+++ b/tests/ended_jobs.rs
@@ -19,7 +19,7 @@
     let first = fake.submit("school", fake::tasks(1, 1, 1));
     fake.pass(Duration::from_millis(50));
     assert!(fake.is_complete(first));
-    for _ in 0..=owner::MAX_KEPT / 1_000 {
+    for _ in 0..=owner::MAX_KEPT_ENDINGS / 1_000 {
         for _ in 0..1_000 {
             fake.submit("state", fake::tasks(1, 1, 1));
         }
--- a/tests/fault_resumed_job.rs
+++ b/tests/fault_resumed_job.rs
@@ -49,20 +49,20 @@
         agent: "a".into(),
         incarnation: 1,
     };
-    owner.members(now, vec![life], &[]);
+    owner.set_members(now, vec![life], &[]);
     let claimed = inherit::Claimed {
         key: key.into(),
         digest: 1,
         tasks: 1,
         at_ms: TAKEN_AT.as_millis() as u64 - 5_000,
     };
-    owner.claims(now, vec![claimed]);
+    owner.set_earlier_claims(now, vec![claimed]);
     let id = task::Id {
         job: key.into(),
         index: 0,
     };
     let tasks = vec![(id, ledger::Standing::Started)];
-    owner.welcome(now, &"a".into(), welcome(1, tasks), load());
+    owner.handle_welcome(now, &"a".into(), welcome(1, tasks), load());
     assert!(owner.is_ready());
     owner
 }
@@ -91,7 +91,7 @@
 fn task_of_a_lost_life_is_not_started_again() {
     let now = time::Instant::now();
     let mut owner = successor(now, "canoas/k");
-    owner.welcome(now, &"a".into(), welcome(2, Vec::new()), load());
+    owner.handle_welcome(now, &"a".into(), welcome(2, Vec::new()), load());
     owner.actions();
     owner.submit(now, job("canoas/k"), 1);
     let id = task::Id {
@@ -103,7 +103,7 @@
     let asked = order::Attempt { id, attempt };
     let withdrawn = notice::Notice::Standing(asked, ledger::Standing::Withdrawn);
     let mut actions = owner.actions();
-    owner.notice(now, &"a".into(), withdrawn);
+    owner.handle_notice(now, &"a".into(), withdrawn);
     owner.dispatch(now);
     actions.extend(owner.actions());
     assert_eq!(starts(&actions), 0, "{actions:?}");
@@ -116,8 +116,8 @@
 fn task_of_an_agent_that_stays_away_ends_at_once() {
     let now = time::Instant::now();
     let mut owner = successor(now, "canoas/k");
-    owner.link_lost(now, &"a".into());
-    let later = now + owner::LOST_AFTER;
+    owner.agent_link_lost(now, &"a".into());
+    let later = now + owner::AGENT_LOST_AFTER;
     owner.tick(later);
     owner.actions();
     owner.submit(later, job("canoas/k"), 1);
@@ -130,7 +130,7 @@
 fn task_of_an_agent_that_is_silent_for_a_moment_is_awaited() {
     let now = time::Instant::now();
     let mut owner = successor(now, "canoas/k");
-    owner.link_lost(now, &"a".into());
+    owner.agent_link_lost(now, &"a".into());
     owner.submit(now, job("canoas/k"), 1);
     assert_eq!(answered(&owner.actions()), None);
     let id = task::Id {
@@ -138,14 +138,14 @@
         index: 0,
     };
     let tasks = vec![(id.clone(), ledger::Standing::Started)];
-    owner.welcome(now, &"a".into(), welcome(1, tasks), load());
+    owner.handle_welcome(now, &"a".into(), welcome(1, tasks), load());
     let value = serde_json::value::to_raw_value(&7).expect("plain JSON");
     let answer = notice::Notice::Answer(notice::Answer {
         id,
         outcome: task::Outcome::Done(value),
         ran_us: 1,
     });
-    owner.notice(now, &"a".into(), answer);
+    owner.handle_notice(now, &"a".into(), answer);
     let complete = |action: &Action| matches!(action, Action::Reply(1, ending) if matches!(&**ending, submission::Ending::Complete(_)));
     assert!(owner.actions().iter().any(complete));
 }
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -297,7 +297,7 @@
     });
     // The claims may be read at any later time: no write of an owner before succeeds any more.
     let claims = w.table.claims.get().clone();
-    feed(w, e, |owner, now| owner.claims(now, claims));
+    feed(w, e, |owner, now| owner.set_earlier_claims(now, claims));
     true
 }
 
@@ -324,7 +324,7 @@
         })
         .collect();
     let lives: Vec<_> = present().map(life).collect();
-    feed(w, e, |owner, now| owner.members(now, lives, &lost));
+    feed(w, e, |owner, now| owner.set_members(now, lives, &lost));
     true
 }
 
@@ -357,7 +357,7 @@
         return true;
     }
     let pending = owning.pending.change(std::mem::take);
-    feed(w, e, |owner, now| owner.claimed(now, &pending));
+    feed(w, e, |owner, now| owner.claims_written(now, &pending));
     true
 }
 
@@ -372,7 +372,7 @@
     }
     w.used.refusals += 1;
     let down = code::Code::StoreDown;
-    feed(w, e, |owner, now| owner.claim_refused(now, &keys, down))
+    feed(w, e, |owner, now| owner.claims_refused(now, &keys, down))
 }
 
 fn beat(w: &mut World, e: usize) -> bool {
@@ -384,7 +384,7 @@
         return true;
     }
     let begun = w.now(e);
-    feed(w, e, |owner, _| owner.table_seen(begun))
+    feed(w, e, |owner, _| owner.note_ownership_proof(begun))
 }
 
 fn tick(w: &mut World, e: usize) -> bool {
@@ -458,7 +458,9 @@
     w.used.link_losses += 1;
     owning.links[a] = None;
     owning.greeted[a] = None;
-    feed(w, e, |owner, now| owner.link_lost(now, &world::agent_id(a)))
+    feed(w, e, |owner, now| {
+        owner.agent_link_lost(now, &world::agent_id(a))
+    })
 }
 
 fn agent_dies(w: &mut World, a: usize) -> bool {
@@ -722,12 +724,14 @@
     match notice {
         notice::Notice::Welcome(welcome) => {
             owning.links[a] = Some(welcome.incarnation);
-            feed(w, e, |owner, now| owner.welcome(now, &id, welcome, load));
+            feed(w, e, |owner, now| {
+                owner.handle_welcome(now, &id, welcome, load)
+            });
         }
         notice => {
             feed(w, e, |owner, now| {
-                owner.notice(now, &id, notice);
-                owner.load(now, &id, load);
+                owner.handle_notice(now, &id, notice);
+                owner.update_load(now, &id, load);
             });
         }
     }
