--- a/examples/besteffort_cost.rs
+++ b/examples/besteffort_cost.rs
@@ -14,7 +14,7 @@
 use lovagemill::decide::besteffort::message::{
     AgentMessage, EntryMessage, Progress, Room, Run, RunEnd, RunOutcome, Start,
 };
-use lovagemill::platform::http::{self as server, Caps};
+use lovagemill::platform::http::{self as server, ConnectionLimits};
 use lovagemill::wire::http::{self, Call};
 use nix::time::ClockId;
 use serde::de::DeserializeOwned;
@@ -91,10 +91,10 @@
 }
 
 async fn exchanges() -> anyhow::Result<()> {
-    let caps = || Caps {
-        connections: 4,
-        head: 16 * 1024,
-        idle: LIMIT,
+    let caps = || ConnectionLimits {
+        max_connections: 4,
+        max_head: 16 * 1024,
+        idle_timeout: LIMIT,
     };
     let answer = |_req| async { server::text(200, "{\"clock_ms\":482113}".to_owned()) };
     let addr = server::bind("127.0.0.1:0".parse()?, caps, answer).await?;
--- a/tests/formats_platform.rs
+++ b/tests/formats_platform.rs
@@ -29,9 +29,9 @@
 use lovagemill::decide::besteffort::job::{NotRunReason, Outcome};
 use lovagemill::decide::besteffort::message::{AgentMessage, Backend, EntryMessage, RunOutcome};
 use lovagemill::decide::besteffort::slots::{PassedOver, StartAnswer};
-use lovagemill::platform::directory::{Crashes, Listed};
+use lovagemill::platform::directory::{AgentRow, CrashesRow};
 use lovagemill::platform::routes::{self, Class, Limits, Routes};
-use lovagemill::platform::submission::{self, Refused};
+use lovagemill::platform::submission::{self, Rejection};
 use lovagemill::platform::{directory, settings};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -80,11 +80,11 @@
     round_trip::<AgentMessage>("platform_from_agent.jsonl");
     round_trip::<EntryMessage>("platform_from_entry.jsonl");
     round_trip::<DomainState>("platform_evacuation.jsonl");
-    round_trip::<Listed>("platform_row_listed.jsonl");
-    round_trip::<Crashes>("platform_row_crashes.jsonl");
+    round_trip::<AgentRow>("platform_row_listed.jsonl");
+    round_trip::<CrashesRow>("platform_row_crashes.jsonl");
     round_trip::<Backend>("platform_row_backend.jsonl");
     assert_eq!(directory::TABLE, "agents");
-    assert_eq!(directory::crashes_key("side-1"), "side-1/crashes");
+    assert_eq!(directory::crashes_row_key("side-1"), "side-1/crashes");
 }
 
 /// The names of the keys in a JSON text or a template of one: whatever is quoted before a colon.
@@ -139,7 +139,7 @@
 
 /// The class of the example that has no policy service.
 fn class(routes: &Routes) -> &Class {
-    let found = routes.find("school.example", "/trips/x");
+    let found = routes.find_class("school.example", "/trips/x");
     found.expect("the path is served").0
 }
 
@@ -166,7 +166,7 @@
         (2, 3, 1.75)
     );
     assert!(!class.has_policy);
-    let with_policy = routes.find("school.example", "/advised/x");
+    let with_policy = routes.find_class("school.example", "/advised/x");
     assert!(with_policy.is_some_and(|(class, _)| class.has_policy));
 }
 
@@ -174,7 +174,7 @@
 fn submission(
     job: &Value,
     class: &Class,
-) -> Result<lovagemill::decide::besteffort::job::Submission, Refused> {
+) -> Result<lovagemill::decide::besteffort::job::Submission, Rejection> {
     let body = job.to_string();
     let (came, waits) = (Duration::from_secs(10), Duration::from_secs(2));
     submission::decode("937d71d10db60f79", body.as_bytes(), class, came, waits)
@@ -199,7 +199,7 @@
         let (owner, field) = case["field"].as_str().unwrap().rsplit_once('/').unwrap();
         job.pointer_mut(owner).expect("a job")[field] = case["value"].clone();
         let why = match submission(&job, class).err() {
-            Some(Refused::Mistaken(why) | Refused::NotServed(why)) => why,
+            Some(Rejection::Invalid(why) | Rejection::Unsupported(why)) => why,
             None => "",
         };
         assert_eq!(case["refused"], why, "{case}");
--- a/tests/formats_platform/programs.rs
+++ b/tests/formats_platform/programs.rs
@@ -36,7 +36,7 @@
     let agent = processes::agent_in("z", "formats-agent", store.addr, worker.addr);
     worker.announce(agent.addr("announce"), client.clone());
     let entry = processes::entry("formats-entry", store.addr);
-    entry.line(|line| {
+    entry.wait_for_line(|line| {
         line["message"] == "agent changed its mind about new work" && line["takes_work"] == true
     });
     // Before it is settled, it refuses nothing for want of a backend server that suits.
@@ -155,7 +155,9 @@
         for line in lines("platform_callers.jsonl") {
             system.exchange(&line).await;
         }
-        let line = system.entry.line(|line| line["message"] == "job answered");
+        let line = system
+            .entry
+            .wait_for_line(|line| line["message"] == "job answered");
         check_line(&line, &lines("platform_job_answered.jsonl")[0]);
 
         // While a job runs, and when its caller withdraws it.
@@ -195,7 +197,7 @@
         let rows = store::open(system.store.addr);
         let key = "formats-agent/crashes";
         while rows
-            .row("agents", "z", key)
+            .read_row("agents", "z", key)
             .await
             .expect("rows")
             .rows
--- a/tests/formats_platform/requests.rs
+++ b/tests/formats_platform/requests.rs
@@ -53,7 +53,7 @@
             known.map_or(server::empty(404), |line| reply(&line))
         }
     };
-    let addr = server::bind(stand::any(), || server::watchers(64), answer).await;
+    let addr = server::bind(stand::any_port(), || server::monitoring_limits(64), answer).await;
     (addr.expect("a free port"), seen)
 }
 
@@ -171,13 +171,16 @@
     block_on(async {
         let (addr, seen) = serve("platform_store.jsonl").await;
         let store = store::open(addr);
-        let rows = store.row("backends", "poa", "side-1").await.expect("rows");
+        let rows = store
+            .read_row("backends", "poa", "side-1")
+            .await
+            .expect("rows");
         let expected = vec![row("poa", "side-1", Some("{}"), 4)];
         assert_eq!(parts(rows), (expected, 9, 77, true));
-        let rows = store.range("op", "config", "evacuate0").await;
+        let rows = store.read_range("op", "config", "evacuate0").await;
         let expected = vec![row("", "config", Some("{}"), 5)];
         assert_eq!(parts(rows.expect("rows")), (expected, 10, 78, false));
-        let rows = store.table("agents").await.expect("rows");
+        let rows = store.read_table("agents").await.expect("rows");
         let expected = vec![
             row("cwb", "side-2", Some("{}"), 6),
             row("cwb", "side-3", Some("{}"), 7),
@@ -193,10 +196,10 @@
         store.remove("agents", "poa", "side-1").await.expect("done");
         let gone = store.watch("op", 1, Duration::ZERO).await.err();
         assert_eq!(gone, Some(Error::HistoryGone));
-        let garbled = store.range("garbled", "a", "b").await.err();
-        assert_eq!(garbled, Some(Error::Garbled));
-        let away = store.range("away", "a", "b").await.err();
-        assert!(matches!(away, Some(Error::Away(_))));
+        let garbled = store.read_range("garbled", "a", "b").await.err();
+        assert_eq!(garbled, Some(Error::InvalidAnswer));
+        let away = store.read_range("away", "a", "b").await.err();
+        assert!(matches!(away, Some(Error::Unavailable(_))));
 
         let asked = |line: &Value| (line["request"].clone(), line["body"].clone());
         let seen: Vec<_> = mutex::lock(&seen).iter().map(asked).collect();
@@ -233,19 +236,21 @@
         name: "side-1".into(),
         life: 7001,
         failure_domain: "poa".into(),
-        links: stand::any(),
+        links: stand::any_port(),
         bounds: Bounds::default(),
     };
     let agent = agent::bind(cfg, worker::open(worker.addr)).await;
     let agent = agent.expect("a free port");
-    let addr = announce::bind(stand::any(), agent.clone()).await;
+    let addr = announce::bind(stand::any_port(), agent.clone()).await;
     (agent, addr.expect("a free port"))
 }
 
 /// The row of an agent in a table of the stand-in store, once it is there.
 async fn kept(store: &Store, table: &str) -> Value {
-    store.wait_for(table).await;
-    let rows = store::open(store.addr).row(table, "poa", "side-1").await;
+    store.wait_for_rows(table).await;
+    let rows = store::open(store.addr)
+        .read_row(table, "poa", "side-1")
+        .await;
     let rows = rows.expect("rows").rows;
     let value = rows[0].value.as_deref().expect("a value");
     serde_json::from_slice(value).expect("JSON")
@@ -267,12 +272,12 @@
         let known = || serde_json::to_value(agent.backend()).expect("JSON");
         assert_eq!(known(), backend);
         let store = Store::open().await;
-        let own = memory::Own {
+        let owner = memory::RowOwner {
             name: "side-1".into(),
             domain: "poa".into(),
             agent: agent.clone(),
         };
-        tokio::spawn(memory::keep(store::open(store.addr), own));
+        tokio::spawn(memory::maintain(store::open(store.addr), owner));
         assert_eq!(kept(&store, "backends").await, backend);
         let mut listed = lines("platform_row_listed.jsonl").remove(0);
         listed["links"] = json!(agent.link_addr());
