--- a/tests/formats_platform.rs
+++ b/tests/formats_platform.rs
@@ -17,8 +17,8 @@
 #[path = "formats_platform/requests.rs"]
 mod requests;
 #[allow(dead_code)]
-#[path = "users_platform/stand.rs"]
-mod stand;
+#[path = "users_platform/standins.rs"]
+mod standins;
 
 use std::collections::BTreeSet;
 use std::future::Future;
--- a/tests/formats_platform/programs.rs
+++ b/tests/formats_platform/programs.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 
 use crate::processes::{self, Process};
-use crate::stand::{Store, Worker};
+use crate::standins::{Store, Worker};
 use crate::{block_on, lines, path, text};
 
 /// Longest that a call of a test waits; nothing depends on it but a hang.
--- a/tests/formats_platform/requests.rs
+++ b/tests/formats_platform/requests.rs
@@ -19,11 +19,11 @@
 use lovagemill::mutex;
 use lovagemill::platform::http::{self as server, Reply};
 use lovagemill::platform::store::{self, Error, Row, Rows};
-use lovagemill::platform::{announce, memory, worker};
+use lovagemill::platform::{agent_rows, announce, worker};
 use lovagemill::wire::http::{self, Call, Client};
 use serde_json::{json, Value};
 
-use crate::stand::{self, Store, Worker};
+use crate::standins::{self, Store, Worker};
 use crate::{block_on, lines};
 
 /// Longest that a call of a test waits.
@@ -53,7 +53,12 @@
             known.map_or(server::empty(404), |line| reply(&line))
         }
     };
-    let addr = server::bind(stand::any_port(), || server::monitoring_limits(64), answer).await;
+    let addr = server::bind(
+        standins::any_port(),
+        || server::monitoring_limits(64),
+        answer,
+    )
+    .await;
     (addr.expect("a free port"), seen)
 }
 
@@ -236,12 +241,12 @@
         name: "side-1".into(),
         life: 7001,
         failure_domain: "poa".into(),
-        links: stand::any_port(),
+        links: standins::any_port(),
         bounds: Bounds::default(),
     };
     let agent = agent::bind(cfg, worker::open(worker.addr)).await;
     let agent = agent.expect("a free port");
-    let addr = announce::bind(stand::any_port(), agent.clone()).await;
+    let addr = announce::bind(standins::any_port(), agent.clone()).await;
     (agent, addr.expect("a free port"))
 }
 
@@ -272,12 +277,12 @@
         let known = || serde_json::to_value(agent.backend()).expect("JSON");
         assert_eq!(known(), backend);
         let store = Store::open().await;
-        let owner = memory::RowOwner {
+        let owner = agent_rows::RowOwner {
             name: "side-1".into(),
             domain: "poa".into(),
             agent: agent.clone(),
         };
-        tokio::spawn(memory::maintain(store::open(store.addr), owner));
+        tokio::spawn(agent_rows::maintain(store::open(store.addr), owner));
         assert_eq!(kept(&store, "backends").await, backend);
         let mut listed = lines("platform_row_listed.jsonl").remove(0);
         listed["links"] = json!(agent.link_addr());
--- a/tests/users_platform/main.rs
+++ b/tests/users_platform/main.rs
@@ -1,7 +1,7 @@
 //! The two programs of the users' platform as processes, against stand-ins of its interfaces.
 
 mod processes;
-mod stand;
+mod standins;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 
 use processes::Process;
-use stand::{Store, Worker};
+use standins::{Store, Worker};
 
 /// Longest that a caller of a test waits; nothing depends on it but a hang.
 const PATIENCE: Duration = Duration::from_secs(30);
--- a/tests/users_platform/processes.rs
+++ b/tests/users_platform/processes.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{json, Value};
 
-use crate::stand::any_port;
+use crate::standins::any_port;
 
 const ENTRY: &str = env!("CARGO_BIN_EXE_lovagemill-platform-entry");
 const AGENT: &str = env!("CARGO_BIN_EXE_lovagemill-platform-agent");
