--- a/src/decide/owner/admission.rs
+++ b/src/decide/owner/admission.rs
@@ -1,4 +1,5 @@
-//! What a new job has to pass before anything of it runs, and when its claim must come first.
+//! Admission of new jobs: the checks that refuse a job before any of its tasks starts, and the rule
+//! that decides whether its claim has to be in the table before the first start.
 
 use std::sync::Arc;
 use std::time;
@@ -14,30 +15,32 @@
 use crate::refusal;
 use crate::submission;
 
-/// Most tasks that may wait in a cell, whatever the targets allow.
-const MAX_WAITING: usize = 200_000;
+/// Most tasks that may wait in a cell, even if all of them could meet their targets.
+const MAX_WAITING_TASKS: usize = 200_000;
 
-/// How much work a job is thought to be.
-struct Work {
-    /// Seconds of slot time of all its tasks.
+/// Estimated run times of a job's tasks.
+struct WorkEstimate {
+    /// Sum over all tasks, in seconds of slot time.
     seconds: f64,
-    /// Run time of its longest task.
+    /// Run time of the longest task.
     longest: time::Duration,
 }
 
 impl Owner {
-    /// Takes a new job, or refuses it with nothing run.
+    /// Admits a new job, or refuses it before any of its tasks starts.
+    ///
+    /// An admitted job is queued at once, unless its claim has to be written first.
     pub(super) fn admit(
         &mut self,
         now: time::Instant,
         submission: Arc<submission::Submission>,
         waiter: action::Waiter,
     ) {
-        let work = self.work_of(&submission.job);
+        let work = self.estimate_work(&submission.job);
         let account = &submission.job.client_account;
         self.demand.offer(now, account, work.seconds);
-        self.sort_accounts(now);
-        let target = match self.check(now, &submission, &work) {
+        self.reclassify_accounts(now);
+        let target = match self.check_admission(now, &submission, &work) {
             Ok(target) => target,
             Err(refusal) => {
                 self.refuse(waiter, refusal);
@@ -57,7 +60,7 @@
             digest: submission.digest,
             tasks: submission.job.tasks.len() as u32,
             ahead,
-            at_ms: self.wall(now).as_millis() as u64,
+            at_ms: self.wall_clock(now).as_millis() as u64,
         }));
         self.deadlines
             .insert((job.deadline, submission.key.clone()));
@@ -67,12 +70,17 @@
         }
     }
 
-    /// Everything that refuses a job before anything of it runs. Returns the class target.
-    fn check(
+    /// Checks whether a new job may be admitted, and returns the target of its class.
+    ///
+    /// # Errors
+    ///
+    /// Refuses a job of an unknown class, with a wrong number of tasks, with a task that no agent
+    /// could ever run, over its client account's quota, or that would end too late.
+    fn check_admission(
         &self,
         now: time::Instant,
         submission: &submission::Submission,
-        work: &Work,
+        work: &WorkEstimate,
     ) -> Result<time::Duration, refusal::Refusal> {
         let job = &submission.job;
         let Some(class) = self.config.document.class(&job.class) else {
@@ -91,44 +99,46 @@
         if let Some(quota) = self.config.document.quota(&job.client_account) {
             let waiting = self.queue.waiting(&job.client_account) + job.tasks.len();
             if waiting as i64 > quota.waiting_tasks {
-                let wait = self.wait_of(&job.client_account);
+                let wait = self.expected_wait(&job.client_account);
                 return Err(refusal::Refusal::new(code::Code::OverQuota).retry_after(wait));
             }
         }
-        if self.queue.len() + job.tasks.len() > MAX_WAITING {
-            let wait = self.wait_of(&job.client_account);
+        if self.queue.len() + job.tasks.len() > MAX_WAITING_TASKS {
+            let wait = self.expected_wait(&job.client_account);
             return Err(refusal::Refusal::new(code::Code::Overloaded).retry_after(wait));
         }
-        if self.finds_room(job) {
+        if self.can_start_at_once(job) {
             return Ok(class.target());
         }
-        let late = self.lateness(now, &job.client_account, class.target(), work);
+        let late = self.expected_lateness(now, &job.client_account, class.target(), work);
         if !late.is_zero() {
             return Err(refusal::Refusal::new(code::Code::Overloaded).retry_after(late));
         }
         Ok(class.target())
     }
 
-    /// Tells whether all of a job can start at once, so that no forecast of a wait is needed.
-    fn finds_room(&self, job: &submission::Job) -> bool {
+    /// Tells whether all tasks of a job can start at once, so that its wait needn't be estimated.
+    fn can_start_at_once(&self, job: &submission::Job) -> bool {
         let waiting = self.queue.waiting(&job.client_account);
         waiting == 0 && self.fleet.free_slots() as usize >= job.tasks.len()
     }
 
-    /// How much too late a job would end, or make others of its client account end; nothing where all is
-    /// in time. This is also how long the caller had better wait before it asks again.
-    fn lateness(
+    /// Estimates by how much the job, or other jobs of its client account because of it, would miss
+    /// their targets; zero if all would end in time. The caller should wait this long before it
+    /// submits the job again.
+    fn expected_lateness(
         &self,
         now: time::Instant,
         account: &id::ClientAccount,
         target: time::Duration,
-        work: &Work,
+        work: &WorkEstimate,
     ) -> time::Duration {
         let slots = f64::from(self.fleet.slots());
         if slots == 0.0 {
             return time::Duration::ZERO;
         }
-        // An estimate alone, however wrong, never refuses a job that finds the system idle.
+        // The bound on the estimate guarantees that a wrong estimate alone never refuses a job
+        // that arrives while the system is idle.
         let longest = work.longest.min(target.mul_f64(backlog::HEADROOM / 2.0));
         let share = self.demand.share(account);
         if let (Some(rate), false) = (share, self.policy.queue == queue::Policy::Fifo) {
@@ -137,13 +147,13 @@
                 .queue
                 .lateness(now, account, deadline, longest, work.seconds, rate);
         }
-        let wait = self.wait_of(account).as_secs_f64() + longest.as_secs_f64();
+        let wait = self.expected_wait(account).as_secs_f64() + longest.as_secs_f64();
         let late = wait - backlog::HEADROOM * target.as_secs_f64();
         time::Duration::from_secs_f64(late.max(0.0))
     }
 
-    /// How long a client account's new task would wait for a slot.
-    pub(super) fn wait_of(&self, account: &id::ClientAccount) -> time::Duration {
+    /// Estimates how long a new task of a client account would wait for a slot.
+    pub(super) fn expected_wait(&self, account: &id::ClientAccount) -> time::Duration {
         let slots = f64::from(self.fleet.slots());
         if slots == 0.0 {
             return time::Duration::ZERO;
@@ -151,7 +161,8 @@
         let seconds = match (self.policy.queue, self.demand.share(account)) {
             (queue::Policy::Fifo, _) => self.queue.seconds() / slots,
             (_, Some(rate)) => self.queue.backlog(account) / rate,
-            // Whatever others say of their tasks, a client account's own backlog bounds its wait.
+            // The client account's own backlog bounds its wait, whatever run times other client
+            // accounts declare for their tasks.
             (_, None) => {
                 let own = self.queue.backlog(account) * (self.demand.light() + 1) as f64;
                 self.queue.light_seconds().min(own) / slots
@@ -160,9 +171,9 @@
         time::Duration::from_secs_f64(seconds)
     }
 
-    /// How much work a job is thought to be.
-    fn work_of(&self, job: &submission::Job) -> Work {
-        let mut work = Work {
+    /// Estimates the run times of a job's tasks from what they declared and from earlier runs.
+    fn estimate_work(&self, job: &submission::Job) -> WorkEstimate {
+        let mut work = WorkEstimate {
             seconds: 0.0,
             longest: time::Duration::ZERO,
         };
@@ -176,28 +187,29 @@
         work
     }
 
-    /// Tells light client accounts from heavy ones anew, where that is due.
-    pub(super) fn sort_accounts(&mut self, now: time::Instant) {
+    /// Reclassifies client accounts as light or heavy by their recent demand, if that is due.
+    pub(super) fn reclassify_accounts(&mut self, now: time::Instant) {
         for (account, light) in self.demand.refresh(now, self.fleet.slots()) {
             self.queue.classify(&account, light);
         }
     }
 
-    /// Tells whether a submission's claim must be in the table before anything of it starts.
+    /// Tells whether a submission's claim must be in the table before any of its tasks starts.
     ///
-    /// Without a claim a start is safe only if a later owner can tell that the key is old enough
-    /// to have been started: a key that tells its age, of idempotent work. A key that says it is
-    /// younger than this owner's last sight of the table would look fresh to the later owner,
-    /// whether the caller's clock is ahead or this process was paused without noticing.
+    /// A start without a written claim is safe only if a later owner can see from the key that the
+    /// job may have been started: the key has to contain the time at which it was minted, and the
+    /// work has to be idempotent. A later owner would take the key for new if that time is more
+    /// than [`inherit::TABLE_SIGHT`] after this owner's last proof of ownership. This happens if
+    /// the caller's clock is ahead, or if this process was paused without noticing.
     pub(super) fn must_claim_ahead(
         &self,
         now: time::Instant,
         submission: &submission::Submission,
     ) -> bool {
-        let in_sight = now.saturating_duration_since(self.table_seen) < inherit::TABLE_SIGHT;
-        let latest = self.wall(self.table_seen) + inherit::TABLE_SIGHT;
+        let proof_is_fresh = now.saturating_duration_since(self.last_proof) < inherit::TABLE_SIGHT;
+        let latest_minted = self.wall_clock(self.last_proof) + inherit::TABLE_SIGHT;
         let minted = submission.minted_ms.map(time::Duration::from_millis);
-        let tells_age = minted.is_some_and(|minted| minted <= latest);
-        self.policy.claims_ahead || !submission.idempotent || !tells_age || !in_sight
+        let age_is_known = minted.is_some_and(|minted| minted <= latest_minted);
+        self.policy.claims_ahead || !submission.idempotent || !age_is_known || !proof_is_fresh
     }
 }
--- a/src/decide/owner/agents.rs
+++ b/src/decide/owner/agents.rs
@@ -1,4 +1,4 @@
-//! What the owner makes of its agents: links that come and go, loads, notices.
+//! How the owner handles its agents: their links, loads and notices, and the loss of an agent.
 
 use std::time;
 
@@ -15,7 +15,8 @@
 use crate::task;
 
 impl Owner {
-    /// Takes the first notice of an agent's link.
+    /// Handles the first notice on a link to an agent, which reports the agent's incarnation and
+    /// the tasks that it knows.
     pub fn handle_welcome(
         &mut self,
         now: time::Instant,
@@ -34,7 +35,8 @@
             .map(|agent| (agent.incarnation, agent.sent, agent.taken));
         let same = known.filter(|(incarnation, ..)| *incarnation == welcome.incarnation);
         if known.is_some() && same.is_none() {
-            // The agent came back with an empty memory; what it had started nobody can tell.
+            // The agent restarted and lost its records, so nobody knows which of the tasks that
+            // were sent to it had started.
             self.give_up_agent(now, id);
         }
         let (sent, taken) = same.map_or((0, task::Needs::default()), |(_, sent, taken)| {
@@ -55,18 +57,18 @@
                 limit: self.health.limit(id),
             },
         );
-        self.ask_outstanding(id);
-        self.settle(now);
+        self.resolve_outstanding(id);
+        self.become_ready(now);
         self.dispatch(now);
     }
 
-    /// Takes the load that rode on an agent's message.
+    /// Updates an agent's load, which is sent along with its messages.
     pub fn update_load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
         self.fleet.load(now, id, load);
         self.dispatch(now);
     }
 
-    /// Takes a notice of an agent, apart from its welcome.
+    /// Handles a notice of an agent other than its welcome.
     pub fn handle_notice(
         &mut self,
         now: time::Instant,
@@ -74,30 +76,35 @@
         notice: notice::Notice,
     ) {
         match notice {
-            notice::Notice::Answer(answer) => self.answer(now, agent, answer),
-            notice::Notice::Refused(id, code) => self.refused(now, agent, &id, code),
-            notice::Notice::Standing(id, standing) => self.standing(now, agent, &id, standing),
+            notice::Notice::Answer(answer) => self.handle_answer(now, agent, answer),
+            notice::Notice::Refused(id, code) => self.handle_refusal(now, agent, &id, code),
+            notice::Notice::Standing(id, standing) => {
+                self.handle_standing(now, agent, &id, standing)
+            }
             notice::Notice::Welcome(_) | notice::Notice::Stale(_) | notice::Notice::Heartbeat => {}
         }
     }
 
-    /// Notes that an agent's link is gone.
+    /// Notes that the link to an agent is lost. The agent keeps its tasks until it has been silent
+    /// for [`owner::AGENT_LOST_AFTER`].
     pub fn agent_link_lost(&mut self, now: time::Instant, id: &id::AgentId) {
         self.fleet.silence(now, id);
     }
 
-    /// Gives an agent up: what it may have started is answered as unknown.
+    /// Gives an agent up as lost: jobs with tasks that it may have started fail with an unknown
+    /// outcome.
     pub fn give_up_agent(&mut self, now: time::Instant, id: &id::AgentId) {
         self.fleet.remove(now, id);
         self.health.forget(id);
         for task in self.outstanding.remove(id).unwrap_or_default() {
-            self.drop_task(&task);
-            self.fail(now, &task.job, code::Code::WorkerLost);
+            self.mark_dropped(&task);
+            self.fail_job(now, &task.job, code::Code::WorkerLost);
         }
     }
 
-    /// Gives up agents that have been silent for long, and tries barred ones again.
-    pub(super) fn tend_agents(&mut self, now: time::Instant) {
+    /// Gives up agents that have been silent for [`owner::AGENT_LOST_AFTER`], and lets agents
+    /// whose bar has ended run one task on trial.
+    pub(super) fn check_agent_liveness(&mut self, now: time::Instant) {
         if let Some(before) = now.checked_sub(owner::AGENT_LOST_AFTER) {
             while let Some(id) = self.fleet.silent_since(before) {
                 self.give_up_agent(now, &id);
@@ -108,7 +115,9 @@
         }
     }
 
-    pub(super) fn standing(
+    /// Handles an agent's report on a task that the owner asked about with
+    /// [`order::Order::Resolve`].
+    pub(super) fn handle_standing(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
@@ -120,18 +129,18 @@
             ledger::Standing::Withdrawn => {
                 self.requeue(now, agent, asked, code::Code::Burned);
             }
-            // The answer follows, or came already.
+            // The answer follows or has arrived already.
             ledger::Standing::Started | ledger::Standing::Done => {}
             ledger::Standing::Gone => {
-                if self.give_back(now, agent, id, None).is_some() {
-                    self.fail(now, &id.job, code::Code::AnswerGone);
+                if self.release_task(now, agent, id, None).is_some() {
+                    self.fail_job(now, &id.job, code::Code::AnswerGone);
                 }
             }
         }
     }
 
-    /// Marks a task whose agent is lost.
-    pub(super) fn drop_task(&mut self, id: &task::Id) {
+    /// Marks a task of an ended job as dropped, since its agent is lost.
+    pub(super) fn mark_dropped(&mut self, id: &task::Id) {
         if let Some(job) = self.jobs.get_mut(&id.job) {
             let task = &mut job.tasks[id.index as usize];
             if job.ending.is_some() {
@@ -140,8 +149,8 @@
         }
     }
 
-    /// Asks an agent that is back how the tasks stand that were sent to it.
-    pub(super) fn ask_outstanding(&mut self, id: &id::AgentId) {
+    /// Asks an agent whose link is up again for the state of all tasks that are outstanding there.
+    pub(super) fn resolve_outstanding(&mut self, id: &id::AgentId) {
         let Some(tasks) = self.outstanding.get(id) else {
             return;
         };
--- a/src/decide/owner/endings.rs
+++ b/src/decide/owner/endings.rs
@@ -1,4 +1,4 @@
-//! How jobs end, who is told, and how long it is remembered.
+//! Ending of jobs: replies to the waiters, orders to the agents, and how long endings are kept.
 
 use std::sync::Arc;
 use std::time;
@@ -14,14 +14,15 @@
 use crate::submission;
 
 impl Owner {
-    /// Attaches a waiter to a job that is known under the key.
-    pub(super) fn attach(
+    /// Replies to the waiter, or lets it wait, if a job is known under the submission's key. Tells
+    /// whether one is.
+    pub(super) fn attach_waiter(
         &mut self,
         submission: &submission::Submission,
         waiter: action::Waiter,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(&submission.key) else {
-            return self.attach_gone(submission, waiter);
+            return self.refuse_evicted(submission, waiter);
         };
         if job.submission.digest != submission.digest {
             self.refuse(waiter, refusal::Refusal::new(code::Code::KeyReused));
@@ -34,12 +35,16 @@
         true
     }
 
-    /// Answers for a job that ended and whose ending is no longer kept.
+    /// Refuses a submission whose job ended and whose ending was evicted. Tells whether it did.
     ///
-    /// Guards against a second run: the key of a forgotten job would look fresh to this owner,
-    /// which has read the claims of earlier owners only.
-    fn attach_gone(&mut self, submission: &submission::Submission, waiter: action::Waiter) -> bool {
-        let Some(digest) = self.gone.get(&submission.key) else {
+    /// Guards against a second run: without the evicted key the job would look new to this owner,
+    /// since it has read only the claims of earlier owners.
+    fn refuse_evicted(
+        &mut self,
+        submission: &submission::Submission,
+        waiter: action::Waiter,
+    ) -> bool {
+        let Some(digest) = self.evicted.get(&submission.key) else {
             return false;
         };
         let code = if *digest == submission.digest {
@@ -51,7 +56,8 @@
         true
     }
 
-    /// Withdraws a job that this owner hasn't taken up: an earlier owner's, or none at all.
+    /// Cancels a job that this owner doesn't have: one of an earlier owner that nobody has
+    /// submitted again yet, or one that never existed. The reply says that the outcome is unknown.
     pub(super) fn cancel_unknown(&mut self, key: &id::JobKey, waiter: action::Waiter) {
         if self.inheritance.knows(key) {
             for agent in self.fleet.agents().keys() {
@@ -59,17 +65,19 @@
                 self.actions.push(Action::Order(agent.clone(), order));
             }
         }
-        // A successor knows the jobs of the owner before only once they are submitted again.
+        // An owner learns of the jobs of the previous owner only when they are submitted again.
         self.refuse(waiter, refusal::Refusal::new(code::Code::JobUnknown));
     }
 
+    /// Replies to a waiter with a refusal.
     pub(super) fn refuse(&mut self, waiter: action::Waiter, refusal: refusal::Refusal) {
         let ending = Arc::new(submission::Ending::Failed(refusal));
         self.actions.push(Action::Reply(waiter, ending));
     }
 
-    /// Ends a job without an answer, if it hasn't ended.
-    pub(super) fn fail(&mut self, now: time::Instant, key: &id::JobKey, reason: code::Code) {
+    /// Ends a job with a refusal, unless it has ended: withdraws its waiting tasks and cancels
+    /// those that agents have.
+    pub(super) fn fail_job(&mut self, now: time::Instant, key: &id::JobKey, reason: code::Code) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
@@ -78,7 +86,7 @@
         }
         let mut refusal = job.refusal(reason);
         if refusal.code == code::Code::Expired {
-            refusal = refusal.retry_after(self.wait_of(&job.submission.job.client_account));
+            refusal = refusal.retry_after(self.expected_wait(&job.submission.job.client_account));
         }
         if refusal.code == code::Code::StoreDown {
             refusal = refusal.retry_after(owner::STORE_RETRY);
@@ -88,15 +96,15 @@
         for task in &withdrawn {
             job.tasks[task.id.index as usize] = Progress::Dropped;
         }
-        // One order for each agent that still has tasks of the job, however many those are.
+        // Each agent that still has tasks of the job gets one order for all of them.
         for agent in job.holders() {
             self.actions
                 .push(Action::Order(agent, order::Order::Cancel(key.clone())));
         }
-        let forget = refusal.not_run;
-        self.end(now, key, submission::Ending::Failed(refusal));
-        if forget {
-            // Nothing ran, so a retry under the same key starts from nothing.
+        let ran_nothing = refusal.not_run;
+        self.end_job(now, key, submission::Ending::Failed(refusal));
+        if ran_nothing {
+            // No task ran, so the job is removed and a retry under the same key is a new job.
             if let Some(job) = self.jobs.remove(key) {
                 self.kept_bytes -= job.bytes();
             }
@@ -105,7 +113,14 @@
         }
     }
 
-    pub(super) fn end(&mut self, now: time::Instant, key: &id::JobKey, ending: submission::Ending) {
+    /// Ends a job: replies to its waiters, drops the answers of its tasks and keeps the ending for
+    /// resubmissions.
+    pub(super) fn end_job(
+        &mut self,
+        now: time::Instant,
+        key: &id::JobKey,
+        ending: submission::Ending,
+    ) {
         let job = self.jobs.get_mut(key).expect("a job that ends is there");
         if let Some(timing) = job_timing(job, now, &ending) {
             self.actions.push(Action::Record(timing));
@@ -129,15 +144,17 @@
         self.unacknowledged.push_back((now, key.clone()));
     }
 
-    /// Lets agents drop the answers of jobs that ended a while ago and whose claim is written.
-    pub(super) fn acknowledge(&mut self, now: time::Instant) {
+    /// Lets agents drop their records of jobs that ended at least [`owner::ACKNOWLEDGE_AFTER`] ago
+    /// and whose claim is written.
+    pub(super) fn acknowledge_ended(&mut self, now: time::Instant) {
         while let Some((at, key)) = self.unacknowledged.front() {
             if now.saturating_duration_since(*at) < owner::ACKNOWLEDGE_AFTER {
                 return;
             }
             let job = self.jobs.get(key);
             if job.is_some_and(|job| job.claim != job::Claim::Written && job.ending.is_some()) {
-                // Without its claim in the table the agents' records are all that tells of it.
+                // As long as the claim isn't in the table, only the agents' records show that the
+                // job ran.
                 let later = (now, key.clone());
                 self.unacknowledged.pop_front();
                 self.unacknowledged.push_back(later);
@@ -153,8 +170,9 @@
         }
     }
 
-    /// Drops endings that are old or too many, and later their keys too.
-    pub(super) fn forget(&mut self, now: time::Instant) {
+    /// Evicts endings that are too old, too many or too large. Their keys and digests are kept
+    /// until [`owner::ENDING_RETENTION`] is over.
+    pub(super) fn evict_endings(&mut self, now: time::Instant) {
         let is_old =
             |at: time::Instant| now.saturating_duration_since(at) >= owner::ENDING_RETENTION;
         while let Some((at, key)) = self.ended.front() {
@@ -166,20 +184,24 @@
             let has_ended = self.jobs.get(key).is_some_and(|job| job.ending.is_some());
             if let Some(job) = has_ended.then(|| self.jobs.remove(key)).flatten() {
                 self.kept_bytes -= job.bytes();
-                self.gone.insert(key.clone(), job.submission.digest);
-                self.gone_order.push_back((*at, key.clone()));
+                self.evicted.insert(key.clone(), job.submission.digest);
+                self.evicted_order.push_back((*at, key.clone()));
             }
             self.ended.pop_front();
         }
-        while self.gone_order.front().is_some_and(|(at, _)| is_old(*at)) {
-            if let Some((_, key)) = self.gone_order.pop_front() {
-                self.gone.remove(&key);
+        while self
+            .evicted_order
+            .front()
+            .is_some_and(|(at, _)| is_old(*at))
+        {
+            if let Some((_, key)) = self.evicted_order.pop_front() {
+                self.evicted.remove(&key);
             }
         }
     }
 }
 
-/// Where the time of a job went; nothing without a trace.
+/// Returns how long each stage of a job took, if the submission carries a trace.
 fn job_timing(
     job: &job::Job,
     now: time::Instant,
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -1,7 +1,9 @@
-//! The owner of a cell: takes submissions, hands out tasks, gathers answers, ends jobs.
+//! The owner of a cell: accepts submissions, dispatches their tasks to agents, collects the answers
+//! and ends the jobs.
 //!
-//! Events come in through the methods, with the time; what is to be done leaves as
-//! [`action::Action`]s. The promises that it keeps are listed in `docs/design/claims.md`.
+//! The owner does no I/O. Its methods take events with the time at which they happened, and it
+//! returns what has to be done as [`action::Action`]s. The promises that it keeps are listed in
+//! `docs/design/claims.md`.
 
 mod admission;
 mod agents;
@@ -30,32 +32,34 @@
 use crate::submission;
 use crate::task;
 
-/// Silence of an agent's link after which its tasks are given up as lost.
+/// Time without a link to an agent after which the agent and its tasks are given up as lost.
 pub const AGENT_LOST_AFTER: time::Duration = time::Duration::from_secs(2);
 
-/// How long an ended job's answers stay at the agents, for a caller that lost the owner with it.
+/// How long agents keep the answers of an ended job, so that a caller that lost the ending because
+/// the owner died still gets them through the next owner.
 pub const ACKNOWLEDGE_AFTER: time::Duration = time::Duration::from_secs(10);
 
-/// How long an ending is kept for resubmissions.
+/// How long the ending of a job is kept for resubmissions.
 pub const ENDING_RETENTION: time::Duration = ledger::RESUBMIT;
 
-/// Most ended jobs whose endings are kept; of older ones only the key is, until [`ENDING_RETENTION`] is over.
+/// Most ended jobs whose endings are kept. Of older ones only key and digest are kept, until
+/// [`ENDING_RETENTION`] is over.
 pub const MAX_KEPT_ENDINGS: usize = 20_000;
 
-/// Most bytes of the inputs and answers of ended jobs that are kept.
+/// Most bytes of inputs and answers that are kept of ended jobs.
 pub const MAX_KEPT_BYTES: usize = 32 * 1024 * 1024;
 
-/// When to come back where the table can't be reached.
+/// When a caller may submit again after a refusal because the table can't be reached.
 const STORE_RETRY: time::Duration = time::Duration::from_secs(1);
 
-/// What the operators and the command line set for an owner.
+/// Scheduling settings of an owner, from the operators and the command line.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Policy {
-    /// Who goes next.
+    /// Order in which waiting tasks start.
     pub queue: queue::Policy,
-    /// Where to.
+    /// How the agent of a task is chosen.
     pub placement: fleet::Placement,
-    /// Whether every claim is written ahead of the start.
+    /// Whether every claim is in the table before a task of its job starts.
     pub claims_ahead: bool,
 }
 
@@ -64,19 +68,28 @@
 pub struct Owner {
     epoch: id::Epoch,
     policy: Policy,
-    /// When the owner was opened, by both clocks.
+    /// When the owner was opened, by the monotonic clock and by the wall clock (since the Unix
+    /// epoch).
     opened: (time::Instant, time::Duration),
     inheritance: inherit::Inheritance,
+    /// Whether enough is known of earlier owners' work to look submissions up.
     ready: bool,
-    parked: Vec<(Arc<submission::Submission>, action::Waiter)>,
+    /// Submissions that arrived before the owner was ready.
+    deferred: Vec<(Arc<submission::Submission>, action::Waiter)>,
     jobs: HashMap<id::JobKey, job::Job>,
+    /// Deadlines of the jobs that have not ended.
     deadlines: BTreeSet<(time::Instant, id::JobKey)>,
+    /// Ended jobs whose endings are kept, oldest first.
     ended: VecDeque<(time::Instant, id::JobKey)>,
+    /// Bytes of inputs and answers of the ended jobs.
     kept_bytes: usize,
     /// Digests of ended jobs whose endings are no longer kept.
-    gone: HashMap<id::JobKey, u64>,
-    gone_order: VecDeque<(time::Instant, id::JobKey)>,
+    evicted: HashMap<id::JobKey, u64>,
+    /// Keys of `evicted` with the time at which their jobs ended, oldest first.
+    evicted_order: VecDeque<(time::Instant, id::JobKey)>,
+    /// Ended jobs whose answers the agents still keep.
     unacknowledged: VecDeque<(time::Instant, id::JobKey)>,
+    /// Tasks that were sent to an agent and have not come back, by agent.
     outstanding: HashMap<id::AgentId, BTreeSet<task::Id>>,
     queue: queue::Queue,
     fleet: fleet::Fleet,
@@ -85,12 +98,14 @@
     health: health::Health,
     retries: retry::Budget,
     config: Arc<class::Versioned>,
-    table_seen: time::Instant,
+    /// When the last operation on the table that proved the ownership began.
+    last_proof: time::Instant,
     actions: Vec<Action>,
 }
 
 impl Owner {
-    /// Opens the owner of an epoch that was just written to the table, `wall` since the Unix epoch.
+    /// Opens the owner of an epoch that was just written to the table; `wall` is the time since the
+    /// Unix epoch.
     pub fn open(
         epoch: id::Epoch,
         policy: Policy,
@@ -104,13 +119,13 @@
             opened: (now, wall),
             inheritance: inherit::Inheritance::open(now, wall),
             ready: false,
-            parked: Vec::new(),
+            deferred: Vec::new(),
             jobs: HashMap::new(),
             deadlines: BTreeSet::new(),
             ended: VecDeque::new(),
             kept_bytes: 0,
-            gone: HashMap::new(),
-            gone_order: VecDeque::new(),
+            evicted: HashMap::new(),
+            evicted_order: VecDeque::new(),
             unacknowledged: VecDeque::new(),
             outstanding: HashMap::new(),
             queue: queue::Queue::open(policy.queue, now),
@@ -120,39 +135,43 @@
             health: health::Health::default(),
             retries: retry::Budget::open(),
             config,
-            table_seen: now,
+            last_proof: now,
             actions: Vec::new(),
         }
     }
 
-    /// The wall clock at `at`, reckoned from the owner's opening so that a step of the clock, or a
-    /// pause that the monotonic clock doesn't count, never makes it later than it is.
-    fn wall(&self, at: time::Instant) -> time::Duration {
+    /// Returns the wall clock time of `at`, since the Unix epoch.
+    ///
+    /// It is computed from the opening of the owner and the monotonic clock, so that neither a step
+    /// of the wall clock nor a pause that the monotonic clock doesn't count makes it too late.
+    fn wall_clock(&self, at: time::Instant) -> time::Duration {
         let (opened, wall) = self.opened;
         wall + at.saturating_duration_since(opened)
     }
 
-    /// Notes when the operation began that showed the ownership, and until when, since the Unix
-    /// epoch, the owner before may have started work ahead of its claims.
+    /// Sets when the operation began that gave this owner the cell, and until when, since the Unix
+    /// epoch, the previous owner may have started work before its claims were written.
     ///
-    /// Guards against a pause between winning the cell and opening its owner: what was seen before
-    /// the pause proves nothing after it.
-    pub fn set_takeover(&mut self, begun: time::Instant, doubt: time::Duration) {
-        self.table_seen = begun;
-        self.inheritance.doubt_until(doubt);
+    /// Guards against a pause of the process between taking the cell and opening its owner: the
+    /// time of opening would count as the last proof of ownership, although that proof is older by
+    /// the pause.
+    pub fn set_takeover(&mut self, begun: time::Instant, unclaimed_starts_until: time::Duration) {
+        self.last_proof = begun;
+        self.inheritance.doubt_until(unclaimed_starts_until);
     }
 
-    /// The epoch.
+    /// The epoch in which this owner owns the cell; its orders are fenced with it.
     pub fn epoch(&self) -> id::Epoch {
         self.epoch
     }
 
-    /// Tells whether submissions are looked up, no longer parked.
+    /// Tells whether submissions are handled at once, and not deferred until enough is known of
+    /// earlier owners' work.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// The agents, for placement and status.
+    /// The agents with their loads, for placement and status.
     pub fn fleet(&self) -> &fleet::Fleet {
         &self.fleet
     }
@@ -162,29 +181,30 @@
         &self.queue
     }
 
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub fn open_jobs(&self) -> usize {
         self.deadlines.len()
     }
 
-    /// What is to be done, in order; empties the list.
+    /// Takes the actions that have to be done, in this order.
     pub fn actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Puts a newer configuration into force.
+    /// Puts a configuration into force if its version is newer than the current one.
     pub fn configure(&mut self, config: Arc<class::Versioned>) {
         if config.version > self.config.version {
             self.config = config;
         }
     }
 
-    /// Notes that the owner saw itself in the table by an operation that began at `begun`.
+    /// Notes that an operation on the table which began at `begun` proved the ownership.
     pub fn note_ownership_proof(&mut self, begun: time::Instant) {
-        self.table_seen = self.table_seen.max(begun);
+        self.last_proof = self.last_proof.max(begun);
     }
 
-    /// Takes the members of the cell, read after the epoch was raised.
+    /// Sets the cell's members and the incarnations of agents that were lost, as read from the
+    /// table after the epoch was raised.
     pub fn set_members(
         &mut self,
         now: time::Instant,
@@ -192,16 +212,17 @@
         lost: &[inherit::LostLife],
     ) {
         self.inheritance.members(now, lives, lost);
-        self.settle(now);
+        self.become_ready(now);
     }
 
-    /// Takes the claims of earlier owners, read after the epoch was raised.
+    /// Sets the claims of earlier owners, as read from the table after the epoch was raised.
     pub fn set_earlier_claims(&mut self, now: time::Instant, claims: Vec<inherit::Claimed>) {
         self.inheritance.claims(claims);
-        self.settle(now);
+        self.become_ready(now);
     }
 
-    /// Takes a submission. Its ending goes to the waiter, once.
+    /// Handles a submission: admits a new job, or joins one that is known under the key. The waiter
+    /// gets the job's ending in exactly one reply.
     pub fn submit(
         &mut self,
         now: time::Instant,
@@ -209,10 +230,10 @@
         waiter: action::Waiter,
     ) {
         if !self.ready {
-            self.parked.push((submission, waiter));
+            self.deferred.push((submission, waiter));
             return;
         }
-        if self.attach(&submission, waiter) {
+        if self.attach_waiter(&submission, waiter) {
             return;
         }
         let minted = submission.minted_ms.map(time::Duration::from_millis);
@@ -225,7 +246,7 @@
                 tasks,
                 rest_startable,
             } => {
-                self.resume(now, submission, waiter, tasks, rest_startable);
+                self.resume_job(now, submission, waiter, tasks, rest_startable);
             }
             inherit::Found::MayHaveRun => {
                 self.refuse(waiter, refusal::Refusal::new(code::Code::MayHaveRun))
@@ -237,7 +258,7 @@
         self.dispatch(now);
     }
 
-    /// Withdraws a job; the waiter is told how the job ended.
+    /// Cancels a job; the reply to the waiter says how the job ended.
     pub fn cancel(&mut self, now: time::Instant, key: &id::JobKey, waiter: action::Waiter) {
         let Some(job) = self.jobs.get_mut(key) else {
             self.cancel_unknown(key, waiter);
@@ -248,17 +269,18 @@
             return;
         }
         job.waiters.push(waiter);
-        self.fail(now, key, code::Code::Cancelled);
+        self.fail_job(now, key, code::Code::Cancelled);
         self.dispatch(now);
     }
 
-    /// Notes that claims are in the table; tasks that waited for them may start.
+    /// Notes that claims are in the table, and queues the tasks of jobs that waited for them.
     pub fn claims_written(&mut self, now: time::Instant, claims: &[action::Claim]) {
         for action::Claim { key, digest, .. } in claims {
             let Some(job) = self.jobs.get_mut(key) else {
                 continue;
             };
-            // A claim of an earlier body under the key, which was refused meanwhile, claims nothing.
+            // The claim may be of an earlier job under the same key that was refused in the
+            // meantime; it doesn't cover this one.
             if job.submission.digest != *digest {
                 continue;
             }
@@ -271,7 +293,7 @@
         self.dispatch(now);
     }
 
-    /// Notes that claims can't be written now: what waits for them is given up, not run.
+    /// Fails the jobs that wait for claims which can't be written now; none of their tasks ran.
     pub fn claims_refused(&mut self, now: time::Instant, keys: &[id::JobKey], reason: code::Code) {
         for key in keys {
             let awaited = self
@@ -279,34 +301,36 @@
                 .get(key)
                 .is_some_and(|job| job.claim == job::Claim::Awaited);
             if awaited {
-                self.fail(now, key, reason);
+                self.fail_job(now, key, reason);
             }
         }
     }
 
-    /// Does what is due: passed targets, lost agents, acknowledgements, old endings.
+    /// Handles everything that is due at this time: passed deadlines, lost agents, acknowledgements
+    /// and old endings. To be called regularly.
     pub fn tick(&mut self, now: time::Instant) {
-        self.settle(now);
+        self.become_ready(now);
         while let Some((deadline, key)) = self.deadlines.first().cloned() {
             if deadline > now {
                 break;
             }
-            self.fail(now, &key, code::Code::TaskTimeout);
+            self.fail_job(now, &key, code::Code::TaskTimeout);
         }
-        self.tend_agents(now);
-        self.sort_accounts(now);
-        self.acknowledge(now);
-        self.forget(now);
+        self.check_agent_liveness(now);
+        self.reclassify_accounts(now);
+        self.acknowledge_ended(now);
+        self.evict_endings(now);
         self.dispatch(now);
     }
 
-    /// Leaves the not yet ready state once the knowledge is complete, and takes up what was parked.
-    fn settle(&mut self, now: time::Instant) {
+    /// Makes the owner ready once it knows enough of earlier owners' work, and handles the deferred
+    /// submissions.
+    fn become_ready(&mut self, now: time::Instant) {
         if self.ready || !self.inheritance.is_ready(now) {
             return;
         }
         self.ready = true;
-        for (submission, waiter) in std::mem::take(&mut self.parked) {
+        for (submission, waiter) in std::mem::take(&mut self.deferred) {
             self.submit(now, submission, waiter);
         }
     }
--- a/src/decide/owner/resume.rs
+++ b/src/decide/owner/resume.rs
@@ -1,4 +1,4 @@
-//! Taking up a job that an earlier owner accepted.
+//! Resumption of jobs that an earlier owner accepted and whose callers submit them again.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,8 +17,12 @@
 use crate::task;
 
 impl Owner {
-    /// Takes up a job that an earlier owner accepted.
-    pub(super) fn resume(
+    /// Resumes a job that an earlier owner accepted: asks the agents for the tasks that they know
+    /// and queues the rest.
+    ///
+    /// The job ends at once with an unknown outcome if an answer is gone, if an agent that had a
+    /// task is lost, or if the tasks that no agent knows may have run (`rest_startable` is false).
+    pub(super) fn resume_job(
         &mut self,
         now: time::Instant,
         submission: Arc<submission::Submission>,
@@ -32,16 +36,17 @@
         job.waiters.push(waiter);
         let key = submission.key.clone();
         let mut asked: HashMap<id::AgentId, Vec<order::Attempt>> = HashMap::new();
-        let (mut gone, mut lost) = (false, false);
+        let (mut answer_gone, mut agent_lost) = (false, false);
         for (index, (life, standing)) in &tasks {
             let agent = &life.agent;
             let Some(progress) = job.tasks.get_mut(*index as usize) else {
                 continue;
             };
-            gone |= *standing == ledger::Standing::Gone;
-            // Guards against a life that reported a task and then ended: its successor, which has
-            // never seen the task, would have it started again.
-            lost |= !self.is_alive(life);
+            answer_gone |= *standing == ledger::Standing::Gone;
+            // Guards against an incarnation of an agent that reported a task and then ended. The
+            // agent's next incarnation doesn't know the task and would answer that it may be
+            // started, so it would run twice.
+            agent_lost |= !self.is_current_incarnation(life);
             *progress = Progress::Inherited {
                 agent: agent.clone(),
             };
@@ -56,19 +61,19 @@
         let missing = tasks.len() < job.tasks.len();
         self.deadlines.insert((job.deadline, key.clone()));
         self.jobs.insert(key.clone(), job);
-        if gone || lost {
-            let reason = if gone {
+        if answer_gone || agent_lost {
+            let reason = if answer_gone {
                 code::Code::AnswerGone
             } else {
                 code::Code::WorkerLost
             };
-            self.drop_waiting_as_unknown(&key);
-            self.fail(now, &key, reason);
+            self.drop_waiting_tasks(&key);
+            self.fail_job(now, &key, reason);
             return;
         }
         if missing && !rest_startable {
-            self.drop_waiting_as_unknown(&key);
-            self.fail(now, &key, code::Code::MayHaveRun);
+            self.drop_waiting_tasks(&key);
+            self.fail_job(now, &key, code::Code::MayHaveRun);
             return;
         }
         for (agent, ids) in asked {
@@ -80,13 +85,14 @@
         self.enqueue(now, &key);
     }
 
-    /// Tells whether a life of an agent still is the one that this owner uses.
-    fn is_alive(&self, life: &inherit::Life) -> bool {
+    /// Tells whether an incarnation of an agent is the one that this owner is linked to.
+    fn is_current_incarnation(&self, life: &inherit::Life) -> bool {
         let agent = self.fleet.get(&life.agent);
         agent.is_some_and(|agent| agent.incarnation == life.incarnation)
     }
 
-    pub(super) fn drop_waiting_as_unknown(&mut self, key: &id::JobKey) {
+    /// Marks the waiting tasks of a job as dropped, so that none of them starts.
+    pub(super) fn drop_waiting_tasks(&mut self, key: &id::JobKey) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
--- a/src/decide/owner/tasks.rs
+++ b/src/decide/owner/tasks.rs
@@ -1,4 +1,4 @@
-//! Handing tasks out, and taking answers and refusals back.
+//! Dispatch of tasks to agents, and the handling of their answers and refusals.
 
 use std::time;
 
@@ -15,7 +15,8 @@
 use crate::task;
 
 impl Owner {
-    /// Hands out what can be handed out; called once after a message was taken in.
+    /// Starts waiting tasks for as long as agents have room for them; called once after each event
+    /// that was handled.
     pub fn dispatch(&mut self, now: time::Instant) {
         if !self.ready {
             return;
@@ -25,13 +26,13 @@
             let Some(waiting) = self.queue.pop(|needs| fleet.has_room(needs)) else {
                 return;
             };
-            if self.is_hopeless(now, &waiting) {
-                // Whoever waits is told at once that nothing ran, not at the target.
-                self.fail(now, &waiting.id.job, code::Code::TaskTimeout);
+            if self.is_too_late(now, &waiting) {
+                // The caller learns now that no task ran, and not only at the job's deadline.
+                self.fail_job(now, &waiting.id.job, code::Code::TaskTimeout);
                 continue;
             }
             let agent = self.fleet.choose(&waiting.needs);
-            self.start(
+            self.start_task(
                 now,
                 &agent.expect("a task was taken only where it fits"),
                 &waiting,
@@ -49,7 +50,7 @@
         let mut waiting = Vec::new();
         for (index, progress) in job.tasks.iter().enumerate() {
             if matches!(progress, Progress::Waiting) {
-                waiting.push(self.waiting(job, index as id::TaskIndex));
+                waiting.push(self.waiting_task(job, index as id::TaskIndex));
             }
         }
         let account = job.submission.job.client_account.clone();
@@ -59,15 +60,16 @@
         self.queue.push(now, &account, key, job.deadline, waiting);
     }
 
-    /// Tells whether a job of which nothing was started can't end within its target any more, even
-    /// if its next task runs only half as long as it is thought to.
-    fn is_hopeless(&self, now: time::Instant, waiting: &waiting::Waiting) -> bool {
+    /// Tells whether a job of which no task was started can't meet its deadline any more, even if
+    /// the next task takes only half of its estimate.
+    fn is_too_late(&self, now: time::Instant, waiting: &waiting::Waiting) -> bool {
         self.jobs
             .get(&waiting.id.job)
             .is_some_and(|job| job.agents.is_empty() && now + waiting.estimate / 2 > job.deadline)
     }
 
-    pub(super) fn waiting(&self, job: &job::Job, index: id::TaskIndex) -> waiting::Waiting {
+    /// Builds the queue entry of a job's task, with a new estimate of its run time.
+    pub(super) fn waiting_task(&self, job: &job::Job, index: id::TaskIndex) -> waiting::Waiting {
         let declared = &job.submission.job.tasks[index as usize];
         let account = &job.submission.job.client_account;
         waiting::Waiting {
@@ -82,7 +84,8 @@
         }
     }
 
-    pub(super) fn start(
+    /// Sends the start of a task to an agent and books its slot and its estimated time.
+    pub(super) fn start_task(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
@@ -127,15 +130,15 @@
             .charge(now, &account, waiting.estimate.as_secs_f64());
     }
 
-    /// Takes an agent's answer; one that isn't awaited from that agent reaches nobody.
-    pub(super) fn answer(
+    /// Handles an agent's answer. An answer is ignored if its task isn't outstanding at that agent.
+    pub(super) fn handle_answer(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
         answer: notice::Answer,
     ) {
-        self.judge(now, agent, &answer);
-        let Some(index) = self.give_back(now, agent, &answer.id, Some(answer.ran_us)) else {
+        self.learn_from_answer(now, agent, &answer);
+        let Some(index) = self.release_task(now, agent, &answer.id, Some(answer.ran_us)) else {
             return;
         };
         let key = &answer.id.job;
@@ -152,15 +155,15 @@
                 job.tasks[index] = Progress::Done(value);
                 job.left -= 1;
                 if let Some(ending) = job.complete() {
-                    self.end(now, key, ending);
+                    self.end_job(now, key, ending);
                 }
             }
-            task::Outcome::Failed(reason) => self.fail(now, key, reason),
+            task::Outcome::Failed(reason) => self.fail_job(now, key, reason),
         }
     }
 
-    /// Takes back a start that provably didn't run.
-    pub(super) fn refused(
+    /// Handles an agent's refusal of a start, which proves that the task didn't run.
+    pub(super) fn handle_refusal(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
@@ -172,37 +175,38 @@
             return;
         }
         if code == code::Code::Cancelled {
-            // The job was withdrawn under an owner before; starting it elsewhere would undo that.
-            if !self.is_current(refused) {
+            // The job was cancelled under an earlier owner. Starting its task on another agent
+            // would undo the cancellation.
+            if !self.is_current_start(refused) {
                 return;
             }
-            if let Some(index) = self.give_back(now, agent, id, None) {
+            if let Some(index) = self.release_task(now, agent, id, None) {
                 let job = self.jobs.get_mut(&id.job);
                 job.expect("a task that was given back has a job").tasks[index] = Progress::Dropped;
-                self.fail(now, &id.job, code::Code::Cancelled);
+                self.fail_job(now, &id.job, code::Code::Cancelled);
             }
             return;
         }
         if code == code::Code::WorkerBusy {
-            self.blame(now, agent, &id.job, health::Outcome::Refused);
+            self.observe_health(now, agent, &id.job, health::Outcome::Refused);
         }
         self.requeue(now, agent, refused, code);
     }
 
-    /// Tells whether a refusal covers the start that is under way, no earlier one.
+    /// Tells whether a refusal belongs to the start that is under way, and not to an earlier one.
     ///
-    /// Guards against a refusal that arrives twice: after the first the task may have been sent to
-    /// the same agent again, and run there.
-    fn is_current(&self, refused: &order::Attempt) -> bool {
+    /// Guards against a refusal that arrives twice: after the first arrival the task may have been
+    /// sent to the same agent again and may run there.
+    fn is_current_start(&self, refused: &order::Attempt) -> bool {
         let job = self.jobs.get(&refused.id.job);
         match job.and_then(|job| job.tasks.get(refused.id.index as usize)) {
             Some(Progress::Sent { attempt, .. }) => *attempt <= refused.attempt,
-            // What was dropped is not started again.
+            // A dropped task isn't started again.
             Some(_) | None => true,
         }
     }
 
-    /// Lets a task that provably didn't start wait again, as far as the retry budget goes.
+    /// Queues a task again that provably didn't start; fails the job if the retry budget is spent.
     pub(super) fn requeue(
         &mut self,
         now: time::Instant,
@@ -210,11 +214,11 @@
         refused: &order::Attempt,
         reason: code::Code,
     ) {
-        if !self.is_current(refused) {
+        if !self.is_current_start(refused) {
             return;
         }
         let id = &refused.id;
-        let Some(index) = self.give_back(now, agent, id, None) else {
+        let Some(index) = self.release_task(now, agent, id, None) else {
             return;
         };
         let job = self
@@ -228,18 +232,19 @@
         job.tasks[index] = Progress::Waiting;
         job.moments.requeued.insert(id.index, now);
         if !self.retries.spend() {
-            self.fail(now, &id.job, reason);
+            self.fail_job(now, &id.job, reason);
             return;
         }
         let job = &self.jobs[&id.job];
-        let waiting = self.waiting(job, id.index);
+        let waiting = self.waiting_task(job, id.index);
         let account = job.submission.job.client_account.clone();
         self.queue
             .push(now, &account, &id.job, job.deadline, vec![waiting]);
     }
 
-    /// Ends the booking of a task on an agent. Returns its index if it was booked there.
-    pub(super) fn give_back(
+    /// Releases what is booked for a task on an agent and corrects the charged time by the time
+    /// that it ran. Returns the task's index if it was outstanding there.
+    pub(super) fn release_task(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
@@ -266,8 +271,13 @@
         Some(index)
     }
 
-    /// Learns from an answer: how long such tasks run, and whether the worker is well.
-    fn judge(&mut self, now: time::Instant, agent: &id::AgentId, answer: &notice::Answer) {
+    /// Updates the run time estimate of such tasks and the agent's health by an answer.
+    fn learn_from_answer(
+        &mut self,
+        now: time::Instant,
+        agent: &id::AgentId,
+        answer: &notice::Answer,
+    ) {
         let Some(job) = self.jobs.get(&answer.id.job) else {
             return;
         };
@@ -300,10 +310,11 @@
             }
             task::Outcome::Failed(_) => return,
         };
-        self.blame(now, agent, &answer.id.job, outcome);
+        self.observe_health(now, agent, &answer.id.job, outcome);
     }
 
-    fn blame(
+    /// Updates an agent's health by the outcome of a start, and with it the agent's task limit.
+    fn observe_health(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
@@ -320,7 +331,8 @@
     }
 }
 
-/// Where the time of a task went that was sent here and has come back; nothing without a trace.
+/// Returns how long each stage of a returned task took, if this owner sent it and the submission
+/// carries a trace.
 fn task_timing(
     job: &job::Job,
     now: time::Instant,
