--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -33,7 +33,7 @@
 pub(super) async fn tick(inner: Arc<Inner>) {
     let mut last = clock::since_boot();
     let bounds = inner.cfg.bounds;
-    let lapsed = last + bounds.lapse();
+    let lapsed = last + bounds.lease_lapses_within();
     loop {
         let idle = mutex::lock(&inner.slots).is_idle();
         sleep(if idle { IDLE_TICK } else { TICK }).await;
--- a/src/besteffort/entry/link.rs
+++ b/src/besteffort/entry/link.rs
@@ -66,14 +66,14 @@
             _ = &mut stop => None,
         };
         let was_up = mutex::lock(&inner.links).remove(&no).is_some();
-        mutex::lock(&inner.waits).asking.closed(no);
+        mutex::lock(&inner.waits).asking.link_closed(no);
         if let Some(Err(e)) = &result {
             log::debug!(agent = agent.as_str(), link = no, error = e.to_string().as_str(); "link has ended");
         }
         {
             let mut board = mutex::lock(&inner.board);
             board.agent_down(clock::since_boot(), no);
-            board.unreachable(clock::since_boot(), &agent);
+            board.agent_unreachable(clock::since_boot(), &agent);
         }
         carry_out(&inner);
         if result.is_none() {
@@ -134,7 +134,7 @@
             }
             () = link.news.notified() => {
                 let mut line = seen.line(&link, say_wants(inner, no));
-                let word = mutex::lock(&inner.evacuations).word(&domain);
+                let word = mutex::lock(&inner.evacuations).domain_state(&domain);
                 line.evacuation = told.due(clock::since_boot(), word);
                 writer.write(&line).await?;
             }
@@ -147,7 +147,9 @@
 fn say_wants(inner: &Inner, no: LinkNo) -> Option<WaitingWork> {
     let mut waits = mutex::lock(&inner.waits);
     let wants = waits.wants;
-    waits.asking.said(no, wants.map(|wants| wants.priority));
+    waits
+        .asking
+        .message_sent(no, wants.map(|wants| wants.priority));
     wants
 }
 
@@ -160,7 +162,7 @@
         if let Some(hello) = &line.hello {
             board.agent_up(now, no, hello);
         }
-        board.heard(now, no, &line);
+        board.handle_message(now, no, &line);
     }
     carry_out(inner);
 }
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -100,18 +100,18 @@
 impl Entry {
     /// An agent is listed, or is listed with other words than before.
     pub fn list(&self, member: ListedAgent) {
-        mutex::lock(&self.inner.board).list(member);
+        mutex::lock(&self.inner.board).list_agent(member);
     }
 
     /// An agent isn't listed any more.
     pub fn unlist(&self, agent: &str) {
-        mutex::lock(&self.inner.board).unlist(agent);
+        mutex::lock(&self.inner.board).unlist_agent(agent);
     }
 
     /// An agent has told of a crash of its backend server, and not on a link to this entry.
     pub fn crash_elsewhere(&self, agent: &str, life: id::Incarnation, crash: &Crash) {
         let now = clock::since_boot();
-        mutex::lock(&self.inner.board).crash_elsewhere(now, agent, life, crash);
+        mutex::lock(&self.inner.board).crash_reported(now, agent, life, crash);
         carry_out(&self.inner);
     }
 
@@ -137,7 +137,7 @@
 
     /// Withdraws a job at its caller's request; false where it isn't known here.
     pub fn cancel(&self, job: &str) -> bool {
-        let found = mutex::lock(&self.inner.board).find(job);
+        let found = mutex::lock(&self.inner.board).find_job(job);
         let Some(no) = found else {
             return false;
         };
@@ -149,12 +149,12 @@
 
     /// Whether a job is known and hasn't ended.
     pub fn knows(&self, job: &str) -> bool {
-        mutex::lock(&self.inner.board).find(job).is_some()
+        mutex::lock(&self.inner.board).find_job(job).is_some()
     }
 
     /// Jobs of a class of which nothing was started.
     pub fn pending(&self, class: &str) -> usize {
-        mutex::lock(&self.inner.board).pending(class)
+        mutex::lock(&self.inner.board).unstarted_jobs(class)
     }
 
     /// Jobs that haven't ended.
@@ -176,7 +176,7 @@
     /// Says which failure domains operators have evacuated. Agents hear of a change at once.
     pub fn evacuated(&self, reading: &StoreReading) {
         let mut evacuations = mutex::lock(&self.inner.evacuations);
-        if !evacuations.read(reading) {
+        if !evacuations.update(reading) {
             return;
         }
         let domains: Vec<&str> = evacuations
@@ -204,12 +204,12 @@
 
     /// Whether agents are linked, and none is expected any more after the start.
     pub fn is_settled(&self) -> bool {
-        self.agents() > 0 && mutex::lock(&self.inner.board).is_settled(clock::since_boot())
+        self.agents() > 0 && mutex::lock(&self.inner.board).has_found_agents(clock::since_boot())
     }
 
     /// Agents that are wanted and have been out of reach for so long.
     pub fn unreachable_for(&self, long: time::Duration) -> Vec<id::AgentId> {
-        mutex::lock(&self.inner.board).unreachable_for(clock::since_boot(), long)
+        mutex::lock(&self.inner.board).agents_unreachable_for(clock::since_boot(), long)
     }
 
     /// Agents that are linked.
@@ -251,7 +251,7 @@
         let pause = now.saturating_sub(last);
         if pause > STOOD_STILL {
             log::warn!(ms = pause.as_millis() as u64; "this process stood still");
-            mutex::lock(&inner.board).stood_still(now);
+            mutex::lock(&inner.board).process_resumed(now);
         }
         last = now;
         mutex::lock(&inner.board).tick(now);
@@ -279,7 +279,7 @@
 fn carry_out(inner: &Arc<Inner>) {
     let (actions, wants) = {
         let mut board = mutex::lock(&inner.board);
-        (board.actions(), board.wants())
+        (board.take_actions(), board.waiting_work())
     };
     let links = mutex::lock(&inner.links);
     for action in actions {
@@ -300,7 +300,7 @@
     if let Some(wants) = wants {
         for link in waits
             .asking
-            .due(clock::since_boot(), wants.priority, &links)
+            .links_to_ask(clock::since_boot(), wants.priority, &links)
         {
             if let Some(link) = links.get(&link) {
                 link.news.notify_one();
--- a/src/decide/besteffort/asking.rs
+++ b/src/decide/besteffort/asking.rs
@@ -30,7 +30,7 @@
 
 impl RoomRequests {
     /// A line leaves on a link, and says how urgent what waits is; none if nothing waits.
-    pub fn said(&mut self, link: LinkNo, priority: Option<u32>) {
+    pub fn message_sent(&mut self, link: LinkNo, priority: Option<u32>) {
         match priority {
             Some(priority) => self.told.insert(link, priority),
             None => self.told.remove(&link),
@@ -38,13 +38,13 @@
     }
 
     /// A link is gone.
-    pub fn closed(&mut self, link: LinkNo) {
+    pub fn link_closed(&mut self, link: LinkNo) {
         self.told.remove(&link);
     }
 
     /// Work of some urgency waits now: the links on which to say so at once. An agent that believes
     /// what waits to be less urgent doesn't know yet.
-    pub fn due<T>(
+    pub fn links_to_ask<T>(
         &mut self,
         now: time::Duration,
         priority: u32,
--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -63,23 +63,23 @@
     /// Starts sent.
     pub starts: u64,
     /// Those of tasks that had been sent before.
-    pub again: u64,
+    pub starts_again: u64,
     /// Runs that came back without having begun.
     pub bounced: u64,
     /// Runs that failed.
-    pub failed: u64,
+    pub failed_runs: u64,
     /// Runs that were moved off a slow or standing worker.
-    pub moved: u64,
+    pub moved_runs: u64,
     /// Runs that were lost with an agent or its backend server.
-    pub lost: u64,
+    pub lost_runs: u64,
     /// Jobs that were given up because backend servers crash under a task of theirs.
-    pub crashing: u64,
+    pub crashing_jobs: u64,
     /// From a job's arrival to its answer, by outcome.
-    pub took: metrics::Seconds,
+    pub job_seconds: metrics::Seconds,
     /// From a job's arrival to its first start, by class.
-    pub waited: metrics::Seconds,
+    pub wait_seconds: metrics::Seconds,
     /// From a run's start to its end, by class; of runs that were done.
-    pub served: metrics::Seconds,
+    pub service_seconds: metrics::Seconds,
 }
 
 /// The agents in numbers, for the metrics page.
@@ -92,9 +92,9 @@
     /// Those that are linked.
     pub linked: usize,
     /// Those that get work: linked, taking it, not barred.
-    pub taking: usize,
+    pub taking_work: usize,
     /// How long ago the linked agent was heard that was heard longest ago; none without any.
-    pub heard: Option<time::Duration>,
+    pub longest_silence: Option<time::Duration>,
 }
 
 /// The state of an entry.
@@ -108,15 +108,15 @@
     /// Tasks that wait for room, the next one first.
     queue: BTreeSet<QueueKey>,
     flow: Flow,
-    learned: RunTimes,
+    run_times: RunTimes,
     crashes: Crashes,
-    patience: EarlierWaits,
+    earlier_waits: EarlierWaits,
     /// What the driver hasn't fetched yet.
     actions: Vec<Action>,
     /// What the entry did since the start.
     pub counts: Counts,
     /// The failure domain of the entry.
-    domain: CompactString,
+    failure_domain: CompactString,
     /// Whose link is whose.
     links: HashMap<LinkNo, id::AgentId>,
     /// The jobs that haven't ended, by the id that their callers chose.
@@ -125,23 +125,23 @@
     endings: HashMap<JobId, Outcome>,
     endings_by_age: VecDeque<(time::Duration, JobId)>,
     /// The number of the latest job.
-    next: JobNo,
+    last_job_no: JobNo,
     /// When time bounds were looked at for the first time.
-    born: Option<time::Duration>,
+    first_tick_at: Option<time::Duration>,
     /// When the last link to an agent came up.
-    last_linked: Option<time::Duration>,
+    last_linked_at: Option<time::Duration>,
     /// When the process last went on after it stood still.
-    woken_at: time::Duration,
+    resumed_at: time::Duration,
     /// Until when nothing is started; see [`SETTLE`].
-    settled_at: time::Duration,
+    no_starts_until: time::Duration,
     /// By when all jobs must have ended; none unless it stops.
-    stopping: Option<time::Duration>,
+    stop_by: Option<time::Duration>,
     /// Which agents there are, and which of them are linked to.
     subset: Subset,
     /// When links are reviewed next.
     review_at: time::Duration,
     /// Links to more agents while work waits.
-    widening: reach::Widening,
+    extra_links: reach::Widening,
     /// Jobs that wait for links.
     parked: Vec<reach::Parked>,
 }
@@ -161,7 +161,7 @@
         Board {
             subset: Subset::open(name, domain, policy.subset),
             review_at: time::Duration::ZERO,
-            widening: reach::Widening::default(),
+            extra_links: reach::Widening::default(),
             parked: Vec::new(),
             policy,
             bounds,
@@ -169,22 +169,22 @@
             jobs: BTreeMap::new(),
             queue: BTreeSet::new(),
             flow: Flow::default(),
-            learned: RunTimes::open(policy.learning),
+            run_times: RunTimes::open(policy.learning),
             crashes: Crashes::default(),
-            patience: EarlierWaits::default(),
+            earlier_waits: EarlierWaits::default(),
             actions: Vec::new(),
             counts: Counts::default(),
-            domain: domain.into(),
+            failure_domain: domain.into(),
             links: HashMap::new(),
             by_id: HashMap::new(),
             endings: HashMap::new(),
             endings_by_age: VecDeque::new(),
-            next: 0,
-            born: None,
-            last_linked: None,
-            woken_at: time::Duration::ZERO,
-            settled_at: time::Duration::ZERO,
-            stopping: None,
+            last_job_no: 0,
+            first_tick_at: None,
+            last_linked_at: None,
+            resumed_at: time::Duration::ZERO,
+            no_starts_until: time::Duration::ZERO,
+            stop_by: None,
         }
     }
 
@@ -196,60 +196,65 @@
         if let Some(outcome) = self.endings.get(&ask.job) {
             return SubmitResult::Answered(outcome.clone());
         }
-        let estimate = self.learned.estimate(&ask.class, ask.declared);
-        let waited = self.patience.waited(&ask.class, ask.short_by);
+        let estimate = self.run_times.estimate(&ask.class, ask.declared_run_time);
+        let waited = self
+            .earlier_waits
+            .earlier_wait(&ask.class, ask.wait_shortfall);
         let job = Job::open(ask, now, estimate, waited);
-        if let Some(task) = self.crashes.cause_in(&job.ask.job) {
-            self.log_crashing(&job, task);
-            self.log_end(now, &job, &Outcome::Failed);
+        if let Some(task) = self.crashes.cause_in(&job.submission.job) {
+            self.log_crashing_job(&job, task);
+            self.record_answer(now, &job, &Outcome::Failed);
             return SubmitResult::Answered(Outcome::Failed);
         }
-        let no = self.next + 1;
-        let is_parked = self.park(now, no, &job);
+        let no = self.last_job_no + 1;
+        let is_parked = self.park_job(now, no, &job);
         if !is_parked {
             if let Some((why, back)) = self.refusal(now, &job) {
-                self.log_end(now, &job, &Outcome::NotRun(why, back));
+                self.record_answer(now, &job, &Outcome::NotRun(why, back));
                 return SubmitResult::Answered(Outcome::NotRun(why, back));
             }
         }
-        self.next = no;
-        self.by_id.insert(job.ask.job.clone(), no);
+        self.last_job_no = no;
+        self.by_id.insert(job.submission.job.clone(), no);
         if is_parked {
             self.jobs.insert(no, job);
         } else {
-            self.queue_up(now, no, job);
+            self.queue_tasks(now, no, job);
         }
         SubmitResult::Job(no)
     }
 
-    fn queue_up(&mut self, now: time::Duration, no: JobNo, job: Job) {
-        for task in 0..job.ask.tasks {
-            self.queue.insert(job.rank(no, task));
+    fn queue_tasks(&mut self, now: time::Duration, no: JobNo, job: Job) {
+        for task in 0..job.submission.tasks {
+            self.queue.insert(job.queue_key(no, task));
         }
-        self.flow.came(now, job.priority, job.room());
+        self.flow.job_queued(now, job.priority, job.total_room());
         self.jobs.insert(no, job);
         self.dispatch(now);
     }
 
     /// A job needn't wait for links any more.
-    fn enqueue(&mut self, now: time::Duration, no: JobNo) {
+    fn queue_parked_job(&mut self, now: time::Duration, no: JobNo) {
         let Some(job) = self.jobs.get(&no) else {
             return;
         };
         if let Some((why, back)) = self.refusal(now, job) {
-            self.finish(now, no, Outcome::NotRun(why, back));
+            self.finish_job(now, no, Outcome::NotRun(why, back));
         } else if let Some(job) = self.jobs.remove(&no) {
-            self.queue_up(now, no, job);
+            self.queue_tasks(now, no, job);
         }
     }
 
     fn refusal(&self, now: time::Duration, job: &Job) -> Option<(NotRunReason, time::Duration)> {
-        let mut there = self.agents.values().filter(|v| v.is_there());
-        if self.is_settled(now) && !there.any(|v| v.backend.service == job.ask.service) {
+        let mut there = self.agents.values().filter(|v| v.is_in_service());
+        if self.has_found_agents(now) && !there.any(|v| v.backend.service == job.submission.service)
+        {
             return Some((NotRunReason::NoWorker, RETRY_NO_WORKER));
         }
-        if self.is_settled(now) && self.holding(job).next().is_none() {
-            let held_before = self.suiting(job).any(|v| v.largest.fits(&job.ask.need));
+        if self.has_found_agents(now) && self.large_enough_agents(job).next().is_none() {
+            let held_before = self
+                .suitable_agents(job)
+                .any(|v| v.largest_size.fits(&job.submission.need));
             let why = if held_before {
                 NotRunReason::Shrunk
             } else {
@@ -257,19 +262,20 @@
             };
             return Some((why, RETRY_NO_WORKER));
         }
-        let forecast = self.forecast(now, job);
+        let forecast = self.forecast_wait(now, job);
         let wait = forecast.wait;
         let end = now + wait + job.estimate;
-        if self.stopping.is_some_and(|by| end + job.estimate > by) {
+        if self.stop_by.is_some_and(|by| end + job.estimate > by) {
             return Some((NotRunReason::Stopping, RETRY_NO_WORKER));
         }
-        let slack = job.latest.saturating_sub(now);
-        let late = end > job.ask.deadline || wait > slack.mul_f64(self.policy.admission.admitted);
-        let hopeless = now + job.estimate > job.ask.deadline;
-        if hopeless || (late && self.is_settled(now)) {
-            log::info!(job = job.ask.job.as_str(), wait_ms = wait.as_millis() as u64,
-                slack_ms = slack.as_millis() as u64, ahead = forecast.ahead as u64,
-                rate = forecast.rate as u64, room = forecast.room; "job would be late");
+        let slack = job.latest_start.saturating_sub(now);
+        let late = end > job.submission.deadline
+            || wait > slack.mul_f64(self.policy.admission.max_slack_used);
+        let hopeless = now + job.estimate > job.submission.deadline;
+        if hopeless || (late && self.has_found_agents(now)) {
+            log::info!(job = job.submission.job.as_str(), wait_ms = wait.as_millis() as u64,
+                slack_ms = slack.as_millis() as u64, ahead = forecast.room_ahead as u64,
+                rate = forecast.room_rate as u64, room = forecast.fitting_tasks; "job would be late");
             return Some((NotRunReason::Overloaded, wait));
         }
         None
@@ -277,40 +283,40 @@
 
     /// Takes no new job that may not have ended `by` then: it takes twice its estimate at times.
     pub fn stop_by(&mut self, by: time::Duration) {
-        self.stopping = Some(by);
+        self.stop_by = Some(by);
     }
 
     /// The caller has left; nothing of its job runs on.
     pub fn caller_left(&mut self, now: time::Duration, no: JobNo) {
         if let Some(job) = self.jobs.get(&no) {
-            log::info!(job = job.ask.job.as_str(), class = job.ask.class.as_str(),
-                starts = job.starts, left = job.left; "caller left");
-            self.remove(no);
+            log::info!(job = job.submission.job.as_str(), class = job.submission.class.as_str(),
+                starts = job.starts_sent, left = job.unfinished_tasks; "caller left");
+            self.remove_job(no);
             self.dispatch(now);
         }
     }
 
     /// The number of a job that hasn't ended, by its id.
-    pub fn find(&self, job: &str) -> Option<JobNo> {
+    pub fn find_job(&self, job: &str) -> Option<JobNo> {
         self.by_id.get(job).copied()
     }
 
     /// Jobs of a class of which nothing was started.
-    pub fn pending(&self, class: &str) -> usize {
-        let waiting = self.jobs.values().filter(|job| job.starts == 0);
-        waiting.filter(|job| job.ask.class == class).count()
+    pub fn unstarted_jobs(&self, class: &str) -> usize {
+        let waiting = self.jobs.values().filter(|job| job.starts_sent == 0);
+        waiting.filter(|job| job.submission.class == class).count()
     }
 
     /// What is known of the agents, in numbers.
     pub fn membership(&self, now: time::Duration) -> Membership {
         let linked = || self.agents.values().filter(|view| view.link.is_some());
-        let heard = linked().map(|view| view.heard).min();
+        let heard = linked().map(|view| view.heard_at).min();
         Membership {
-            listed: self.listed(),
+            listed: self.listed_agents(),
             known: self.agents.len(),
             linked: linked().count(),
-            taking: linked().filter(|view| view.takes(now)).count(),
-            heard: heard.map(|heard| now.saturating_sub(heard)),
+            taking_work: linked().filter(|view| view.accepts_tasks(now)).count(),
+            longest_silence: heard.map(|heard| now.saturating_sub(heard)),
         }
     }
 
@@ -320,40 +326,42 @@
     }
 
     /// The process stood still for a while; see [`SETTLE`].
-    pub fn stood_still(&mut self, now: time::Duration) {
-        self.woken_at = now;
-        self.settled_at = now + SETTLE;
+    pub fn process_resumed(&mut self, now: time::Duration) {
+        self.resumed_at = now;
+        self.no_starts_until = now + SETTLE;
     }
 
     /// Looks at every time bound. To be called more often than any of them matters.
     pub fn tick(&mut self, now: time::Duration) {
-        self.born.get_or_insert(now);
-        self.drop_silent(now);
-        self.settle_doubts(now);
-        self.give_up(now, |job| now >= job.ask.deadline || job.is_hopeless(now));
-        self.learned.compare();
-        self.crashes.forget(now);
-        self.forget_endings(now);
-        self.unpark(now);
+        self.first_tick_at.get_or_insert(now);
+        self.close_silent_links(now);
+        self.drop_abandoned_agents(now);
+        self.give_up_jobs(now, |job| {
+            now >= job.submission.deadline || job.is_hopeless(now)
+        });
+        self.run_times.update_median();
+        self.crashes.forget_old(now);
+        self.forget_old_endings(now);
+        self.resume_parked_jobs(now);
         self.dispatch(now);
         self.review_links(now);
     }
 
     /// The work that waits for room, if any does; its urgency on the clock of the entry.
-    pub fn wants(&self) -> Option<WaitingWork> {
+    pub fn waiting_work(&self) -> Option<WaitingWork> {
         let (priority, latest, no, _) = self.queue.first()?;
         // Late work takes what is left over, and competes with none.
         let job = self.jobs.get(no).filter(|job| !job.is_late())?;
         Some(WaitingWork {
             priority: *priority,
             urgency_ms: latest.as_millis() as u64,
-            need: job.ask.need,
+            need: job.submission.need,
             tasks: self.queue.len() as u32,
         })
     }
 
     /// What is to be done since the last call.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 }
--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -30,83 +30,89 @@
     /// How long its last task waits for room.
     pub wait: time::Duration,
     /// Room that is asked for before it, in thousandths of a core.
-    pub ahead: f64,
+    pub room_ahead: f64,
     /// Room that is taken a second, less what is more urgent.
-    pub rate: f64,
+    pub room_rate: f64,
     /// Tasks like its own that fit somewhere now.
-    pub room: i64,
+    pub fitting_tasks: i64,
 }
 
 impl Board {
     /// The agents whose workers take work and may run a job, room apart.
-    pub(super) fn suiting<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a AgentView> {
-        let there = self.agents.values().filter(|view| view.is_there());
-        there.filter(|view| Board::suits(job, view))
+    pub(super) fn suitable_agents<'a>(
+        &'a self,
+        job: &'a Job,
+    ) -> impl Iterator<Item = &'a AgentView> {
+        let there = self.agents.values().filter(|view| view.is_in_service());
+        there.filter(|view| Board::is_suitable(job, view))
     }
 
     /// Those of them that are large enough for a task of the job, were they idle.
-    pub(super) fn holding<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a AgentView> {
-        let suiting = self.suiting(job);
-        suiting.filter(|view| view.backend.size.fits(&job.ask.need))
+    pub(super) fn large_enough_agents<'a>(
+        &'a self,
+        job: &'a Job,
+    ) -> impl Iterator<Item = &'a AgentView> {
+        let suiting = self.suitable_agents(job);
+        suiting.filter(|view| view.backend.size.fits(&job.submission.need))
     }
 
-    fn suits(job: &Job, view: &AgentView) -> bool {
-        let ask = &job.ask;
+    fn is_suitable(job: &Job, view: &AgentView) -> bool {
+        let ask = &job.submission;
         let labelled = |label: &CompactString| view.backend.labels.contains(label);
-        view.backend.service == ask.service && ask.requires.as_ref().is_none_or(labelled)
+        view.backend.service == ask.service && ask.required_label.as_ref().is_none_or(labelled)
     }
 
     /// How long a new job would wait until all its tasks have room, by what is asked for before it
     /// and the rate at which room has come free for this entry lately.
-    pub(super) fn forecast(&self, now: time::Duration, job: &Job) -> Forecast {
+    pub(super) fn forecast_wait(&self, now: time::Duration, job: &Job) -> Forecast {
         let (mut share, mut free) = (0.0, 0);
-        for view in self.holding(job) {
-            let rate = view.backend.size.cpu as f64 / self.learned.slowness(&view.agent).max(1.0);
-            share += rate / f64::from(view.sharers);
-            free += view.free().cpu.max(0) / job.ask.need.cpu.max(1);
+        for view in self.large_enough_agents(job) {
+            let rate = view.backend.size.cpu as f64 / self.run_times.slowness(&view.agent).max(1.0);
+            share += rate / f64::from(view.competing_entries);
+            free += view.free().cpu.max(0) / job.submission.need.cpu.max(1);
         }
-        let own = job.rank(JobNo::MAX, 0);
-        let ahead: f64 = self
+        let own = job.queue_key(JobNo::MAX, 0);
+        let room_ahead: f64 = self
             .queue
             .range(..own)
             .filter_map(|(.., no, _)| self.jobs.get(no))
-            .map(|other| other.ask.need.cpu as f64)
+            .map(|other| other.submission.need.cpu as f64)
             .sum();
         let mut forecast = Forecast {
             wait: time::Duration::ZERO,
-            ahead,
-            rate: 0.0,
-            room: free,
+            room_ahead,
+            room_rate: 0.0,
+            fitting_tasks: free,
         };
-        if ahead == 0.0 && free > 0 {
+        if room_ahead == 0.0 && free > 0 {
             return forecast;
         }
-        let long = self.flow.mean_seconds(now, job.estimate.as_secs_f64());
-        let share = share * self.reach(now);
-        let rate = share * self.policy.admission.least_share / long.max(SHORTEST);
-        let rate = self.flow.starts(now).max(rate);
-        let urgent = self.flow.more_urgent(now, job.priority);
-        forecast.rate = (rate - urgent)
-            .max(rate * self.policy.admission.least_left)
+        let long = self.flow.mean_run_seconds(now, job.estimate.as_secs_f64());
+        let share = share * self.reach_factor(now);
+        let rate = share * self.policy.admission.min_share / long.max(SHORTEST);
+        let rate = self.flow.start_rate(now).max(rate);
+        let urgent = self.flow.more_urgent_rate(now, job.priority);
+        forecast.room_rate = (rate - urgent)
+            .max(rate * self.policy.admission.min_rate_left)
             .max(1.0);
-        let all = ahead + job.room();
-        forecast.wait = time::Duration::from_secs_f64((all / forecast.rate).min(MAX_WAIT));
+        let all = room_ahead + job.total_room();
+        forecast.wait = time::Duration::from_secs_f64((all / forecast.room_rate).min(MAX_WAIT));
         forecast
     }
 
     /// Sends what waits to the agents that have room, and looks for more agents where some still waits.
     pub(super) fn dispatch(&mut self, now: time::Duration) {
-        if now < self.settled_at {
+        if now < self.no_starts_until {
             return;
         }
-        self.place_all(now);
-        self.widen(now);
+        self.place_waiting_tasks(now);
+        self.open_extra_links(now);
     }
 
-    fn place_all(&mut self, now: time::Duration) {
+    fn place_waiting_tasks(&mut self, now: time::Duration) {
         let mut passed = 0;
         let mut after = None;
-        while passed < self.policy.placement.look_ahead {
+        while passed < self.policy.placement.max_passed_over {
             let next = match after {
                 None => self.queue.first().copied(),
                 Some(key) => self
@@ -119,7 +125,7 @@
                 return;
             };
             after = Some(key);
-            if !self.place(now, key.2, key.3) {
+            if !self.place_task(now, key.2, key.3) {
                 passed += 1;
             } else {
                 self.queue.remove(&key);
@@ -127,11 +133,11 @@
         }
     }
 
-    fn place(&mut self, now: time::Duration, no: JobNo, index: id::TaskIndex) -> bool {
+    fn place_task(&mut self, now: time::Duration, no: JobNo, index: id::TaskIndex) -> bool {
         let Some(job) = self.jobs.get(&no) else {
             return true;
         };
-        let Some(agent) = self.choose(now, job, index) else {
+        let Some(agent) = self.choose_agent(now, job, index) else {
             return false;
         };
         let Some(view) = self.agents.get_mut(&agent) else {
@@ -143,37 +149,37 @@
         let Some(job) = self.jobs.get_mut(&no) else {
             return true;
         };
-        let suspicion = self.crashes.suspicion(&job.ask.job, index);
-        let mut patience = self.policy.placement.patience;
+        let suspicion = self.crashes.suspicion(&job.submission.job, index);
+        let mut patience = self.policy.placement.max_wait_at_agent;
         if crashes::is_suspect(suspicion) {
             patience += crashes::PROBATION;
         }
-        view.sent(job.ask.need);
-        let number = job.next_run;
-        job.next_run += 1;
-        job.starts += 1;
-        job.first_start.get_or_insert(now);
+        view.start_sent(job.submission.need);
+        let number = job.next_run_number;
+        job.next_run_number += 1;
+        job.starts_sent += 1;
+        job.first_start_at.get_or_insert(now);
         let task = &mut job.tasks[index as usize];
-        self.counts.again += u64::from(task.last.is_some());
+        self.counts.starts_again += u64::from(task.last_agent.is_some());
         task.state = State::Placed(PlacedRun {
             agent,
             number,
             percent: 0,
-            changed: now,
-            moving: false,
+            progressed_at: now,
+            is_moving: false,
         });
         let start = Start {
             run: job.run(index, number),
-            input: job.ask.input.clone(),
-            need: job.ask.need,
+            input: job.submission.input.clone(),
+            need: job.submission.need,
             priority: job.priority,
-            urgency_ms: job.latest.as_millis() as u64,
-            deadline_ms: job.ask.deadline.as_millis() as u64,
+            urgency_ms: job.latest_start.as_millis() as u64,
+            deadline_ms: job.submission.deadline.as_millis() as u64,
             patience_ms: patience.as_millis() as u64,
             suspicion,
         };
         self.flow
-            .started(now, job.ask.need.cpu as f64, job.estimate);
+            .task_started(now, job.submission.need.cpu as f64, job.estimate);
         self.counts.starts += 1;
         self.actions.push(Action::Start(link, start));
         true
@@ -181,14 +187,19 @@
 
     /// An agent with room where the task is expected to end first. Those where it ends about as soon are
     /// drawn from, see [`draw`].
-    fn choose(&self, now: time::Duration, job: &Job, index: id::TaskIndex) -> Option<id::AgentId> {
+    fn choose_agent(
+        &self,
+        now: time::Duration,
+        job: &Job,
+        index: id::TaskIndex,
+    ) -> Option<id::AgentId> {
         let task = &job.tasks[index as usize];
-        let open = self.open_agents(now, job, task);
+        let open = self.candidate_agents(now, job, task);
         let costs = open.iter().map(|(cost, _)| *cost);
         let most = costs.min_by(f64::total_cmp)?
-            + job.estimate.as_secs_f64() * self.policy.placement.alike;
+            + job.estimate.as_secs_f64() * self.policy.placement.alike_margin;
         let alike = open.iter().filter(|(cost, _)| *cost <= most);
-        let seed = draw::seed(&job.run(index, job.next_run));
+        let seed = draw::seed(&job.run(index, job.next_run_number));
         let drawn = alike.map(|(_, view)| {
             let room = view.free().cpu as f64;
             (draw::weighted_key(seed, &view.agent, room), view)
@@ -198,31 +209,36 @@
     }
 
     /// The agents that a task may be sent to now, each with its expected run time there in seconds.
-    fn open_agents(&self, now: time::Duration, job: &Job, task: &Task) -> Vec<(f64, &AgentView)> {
+    fn candidate_agents(
+        &self,
+        now: time::Duration,
+        job: &Job,
+        task: &Task,
+    ) -> Vec<(f64, &AgentView)> {
         // A second failure at the same worker may be the job's last: it waits for another one.
         let failed_at = task
-            .last
+            .last_agent
             .as_ref()
-            .filter(|_| task.failed > 0 && self.has_other(job));
+            .filter(|_| task.failed_runs > 0 && self.has_other_agent(job));
         let is_open = |view: &&AgentView| {
-            view.takes(now)
-                && Board::suits(job, view)
+            view.accepts_tasks(now)
+                && Board::is_suitable(job, view)
                 && self.has_room(job, view)
                 && failed_at != Some(&view.agent)
-                && self.has_share(job, view)
+                && self.is_below_worker_limit(job, view)
         };
         let cost = |view: &AgentView, slowness: f64| {
-            let cost = self.cost(job, view, slowness);
-            if task.last.as_ref() == Some(&view.agent) {
-                cost * self.policy.placement.again
+            let cost = self.expected_seconds(job, view, slowness);
+            if task.last_agent.as_ref() == Some(&view.agent) {
+                cost * self.policy.placement.same_agent_factor
             } else {
                 cost
             }
         };
         let open = self.agents.values().filter(is_open);
         open.filter_map(|view| {
-            let slowness = self.learned.slowness(&view.agent);
-            let slow = self.too_slow(now, job, slowness);
+            let slowness = self.run_times.slowness(&view.agent);
+            let slow = self.is_too_slow(now, job, slowness);
             (!slow).then(|| (cost(view, slowness), view))
         })
         .collect()
@@ -232,17 +248,18 @@
     fn has_room(&self, job: &Job, view: &AgentView) -> bool {
         let mut free = view.free();
         if job.is_late() {
-            free.cpu -= (view.backend.size.cpu as f64 * self.policy.placement.kept) as i64;
+            free.cpu -=
+                (view.backend.size.cpu as f64 * self.policy.placement.share_kept_from_late) as i64;
         }
-        free.fits(&job.ask.need)
+        free.fits(&job.submission.need)
     }
 
-    fn has_other(&self, job: &Job) -> bool {
-        self.holding(job).count() > 1
+    fn has_other_agent(&self, job: &Job) -> bool {
+        self.large_enough_agents(job).count() > 1
     }
 
-    fn has_share(&self, job: &Job, view: &AgentView) -> bool {
-        let Some(most) = job.ask.per_worker else {
+    fn is_below_worker_limit(&self, job: &Job, view: &AgentView) -> bool {
+        let Some(most) = job.submission.max_per_worker else {
             return true;
         };
         let here = job.tasks.iter().filter(
@@ -251,20 +268,20 @@
         (here.count() as u32) < most
     }
 
-    fn too_slow(&self, now: time::Duration, job: &Job, slowness: f64) -> bool {
-        slowness > self.policy.placement.slow
-            && now + job.estimate.mul_f64(slowness) > job.latest + job.estimate
+    fn is_too_slow(&self, now: time::Duration, job: &Job, slowness: f64) -> bool {
+        slowness > self.policy.placement.slow_from
+            && now + job.estimate.mul_f64(slowness) > job.latest_start + job.estimate
     }
 
     /// Expected run time of a task at an agent of some slowness, in seconds.
-    pub(super) fn cost(&self, job: &Job, view: &AgentView, slowness: f64) -> f64 {
+    pub(super) fn expected_seconds(&self, job: &Job, view: &AgentView, slowness: f64) -> f64 {
         let mut cost = job.estimate.as_secs_f64() * slowness;
-        let near = job.ask.near.as_ref();
+        let near = job.submission.near_label.as_ref();
         if near.is_some_and(|label| !view.backend.labels.contains(label)) {
-            cost *= self.policy.placement.far;
+            cost *= self.policy.placement.far_factor;
         }
-        if view.failure_domain != self.domain {
-            cost += self.policy.placement.other_domain.as_secs_f64();
+        if view.failure_domain != self.failure_domain {
+            cost += self.policy.placement.other_domain_cost.as_secs_f64();
         }
         cost
     }
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -41,41 +41,41 @@
 fn suits(ask: &Submission, member: &ListedAgent) -> bool {
     let labelled = |label| member.labels.contains(label);
     member.service == ask.service
-        && ask.requires.as_ref().is_none_or(labelled)
+        && ask.required_label.as_ref().is_none_or(labelled)
         && member.size.fits(&ask.need)
 }
 
 impl Board {
     /// An agent is listed, or is listed with other words than before.
-    pub fn list(&mut self, member: ListedAgent) {
-        let change = self.subset.list(member);
-        self.apply(change);
+    pub fn list_agent(&mut self, member: ListedAgent) {
+        let change = self.subset.list_agent(member);
+        self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
 
     /// An agent isn't listed any more.
-    pub fn unlist(&mut self, agent: &str) {
-        let change = self.subset.unlist(agent);
-        self.apply(change);
+    pub fn unlist_agent(&mut self, agent: &str) {
+        let change = self.subset.unlist_agent(agent);
+        self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
 
     /// No link to an agent could be opened.
-    pub fn unreachable(&mut self, now: time::Duration, agent: &str) {
-        self.subset.down(now, agent);
-        self.unpark(now);
+    pub fn agent_unreachable(&mut self, now: time::Duration, agent: &str) {
+        self.subset.link_down(now, agent);
+        self.resume_parked_jobs(now);
     }
 
     /// An agent has told of a crash, and not on a link to this entry.
-    pub fn crash_elsewhere(
+    pub fn crash_reported(
         &mut self,
         now: time::Duration,
         agent: &str,
         life: id::Incarnation,
         crash: &Crash,
     ) {
-        self.crashes.hear(now, agent, life, crash);
-        self.give_up_causes(now, std::slice::from_ref(crash));
+        self.crashes.record(now, agent, life, crash);
+        self.fail_crashing_jobs(now, std::slice::from_ref(crash));
     }
 
     /// Opens the links that are wanted, and closes those that aren't.
@@ -85,132 +85,143 @@
         }
         self.review_at = now + REVIEW;
         let agents = &self.agents;
-        let is_used = |agent: &id::AgentId| agents.get(agent).is_some_and(|view| view.runs > 0);
-        let changes = self.subset.review(now, is_used);
-        self.apply(changes);
+        let is_used =
+            |agent: &id::AgentId| agents.get(agent).is_some_and(|view| view.run_count > 0);
+        let changes = self.subset.review_links(now, is_used);
+        self.push_link_changes(changes);
     }
 
     /// Work waits that none of the linked agents has room for: links to more of those that suit it. Where the last
     /// ones have taken less than a task each, the room is used up everywhere: more links would only have more entries
     /// compete for each place that comes free.
-    pub(super) fn widen(&mut self, now: time::Duration) {
+    pub(super) fn open_extra_links(&mut self, now: time::Duration) {
         let waiting = self.queue.first().and_then(|rank| self.jobs.get(&rank.2));
         let Some(job) = waiting.filter(|job| !job.is_late()) else {
-            self.widening.waits = false;
-            self.widening.asked.clear();
+            self.extra_links.waits = false;
+            self.extra_links.asked.clear();
             return;
         };
         let policy = self.policy.subset;
-        if !self.widening.waits {
-            self.widening.waits = true;
-            self.widening.next = self.widening.next.max(now + policy.pause);
+        if !self.extra_links.waits {
+            self.extra_links.waits = true;
+            self.extra_links.next = self.extra_links.next.max(now + policy.extra_pause);
         }
-        if now < self.widening.next {
+        if now < self.extra_links.next {
             return;
         }
         // A thin entry takes a while to open links; nothing is told by those that aren't up yet.
-        let opening = |agent: &id::AgentId| self.subset.is_opening(agent);
-        if now < self.widening.judged_at && self.widening.asked.iter().any(opening) {
+        let opening = |agent: &id::AgentId| self.subset.is_link_opening(agent);
+        if now < self.extra_links.judged_at && self.extra_links.asked.iter().any(opening) {
             return;
         }
-        let asked = std::mem::take(&mut self.widening.asked);
-        let took = |agent: &id::AgentId| self.agents.get(agent).map_or(0, |view| view.runs);
-        self.widening.is_in_vain = asked.iter().map(took).sum::<u32>() < asked.len() as u32;
-        if self.widening.is_in_vain {
-            self.widening.next = now + policy.in_vain;
+        let asked = std::mem::take(&mut self.extra_links.asked);
+        let took = |agent: &id::AgentId| self.agents.get(agent).map_or(0, |view| view.run_count);
+        self.extra_links.is_in_vain = asked.iter().map(took).sum::<u32>() < asked.len() as u32;
+        if self.extra_links.is_in_vain {
+            self.extra_links.next = now + policy.no_room_pause;
             return;
         }
-        self.widening.next = now + policy.pause;
-        let (opening, changes) = self
-            .subset
-            .reach_out(now, policy.step, |member| suits(&job.ask, member));
+        self.extra_links.next = now + policy.extra_pause;
+        let (opening, changes) =
+            self.subset
+                .open_extra_links(now, policy.extra_at_once, |member| {
+                    suits(&job.submission, member)
+                });
         if !changes.is_empty() {
-            log::debug!(job = job.ask.job.as_str(), links = changes.len(), queued = self.queue.len();
+            log::debug!(job = job.submission.job.as_str(), links = changes.len(), queued = self.queue.len();
                 "work waits for room; linking to more agents");
         }
-        self.widening.asked = opening;
-        self.widening.judged_at = now + policy.opens_within;
-        self.apply(changes);
+        self.extra_links.asked = opening;
+        self.extra_links.judged_at = now + policy.open_timeout;
+        self.push_link_changes(changes);
     }
 
     /// How many times the room of the linked agents work may count on that waits.
-    pub(super) fn reach(&self, now: time::Duration) -> f64 {
-        if self.widening.is_in_vain && now < self.widening.next {
+    pub(super) fn reach_factor(&self, now: time::Duration) -> f64 {
+        if self.extra_links.is_in_vain && now < self.extra_links.next {
             1.0
         } else {
-            self.subset.reach()
+            self.subset.reach_factor()
         }
     }
 
     /// The agents that a new job had better wait for: no linked one suits it, or none near its data has room.
-    fn sought(&mut self, now: time::Duration, job: &Job) -> Vec<id::AgentId> {
-        let sought = self.policy.subset.sought;
-        let ask = &job.ask;
-        let has_any = self.holding(job).next().is_some();
-        let (opening, changes) = match &ask.near {
+    fn open_links_for(&mut self, now: time::Duration, job: &Job) -> Vec<id::AgentId> {
+        let sought = self.policy.subset.links_for_job;
+        let ask = &job.submission;
+        let has_any = self.large_enough_agents(job).next().is_some();
+        let (opening, changes) = match &ask.near_label {
             Some(near) if !self.has_room_near(job, near) => {
                 let is_near = |m: &ListedAgent| suits(ask, m) && m.labels.contains(near);
-                self.subset.reach_out(now, sought, is_near)
+                self.subset.open_extra_links(now, sought, is_near)
             }
-            _ if !has_any => self.subset.reach_out(now, sought, |m| suits(ask, m)),
+            _ if !has_any => self.subset.open_extra_links(now, sought, |m| suits(ask, m)),
             _ => return Vec::new(),
         };
-        self.apply(changes);
+        self.push_link_changes(changes);
         if !opening.is_empty() || has_any {
             return opening;
         }
         // Nothing near is listed, and nothing else is linked.
-        let (opening, changes) = self.subset.reach_out(now, sought, |m| suits(ask, m));
-        self.apply(changes);
+        let (opening, changes) = self.subset.open_extra_links(now, sought, |m| suits(ask, m));
+        self.push_link_changes(changes);
         opening
     }
 
     fn has_room_near(&self, job: &Job, near: &str) -> bool {
         let mut near = self
-            .holding(job)
+            .large_enough_agents(job)
             .filter(|view| view.backend.labels.iter().any(|label| label == near));
-        near.any(|view| view.free().fits(&job.ask.need))
+        near.any(|view| view.free().fits(&job.submission.need))
     }
 
     /// Has a new job wait for agents that suit it better than the linked ones; false where there are none to wait
     /// for.
-    pub(super) fn park(&mut self, now: time::Duration, no: JobNo, job: &Job) -> bool {
-        let opening = self.sought(now, job);
+    pub(super) fn park_job(&mut self, now: time::Duration, no: JobNo, job: &Job) -> bool {
+        let opening = self.open_links_for(now, job);
         if opening.is_empty() {
             return false;
         }
-        log::debug!(job = job.ask.job.as_str(), links = opening.len(); "job waits for links");
-        let until = now + self.policy.subset.patience;
+        log::debug!(job = job.submission.job.as_str(), links = opening.len(); "job waits for links");
+        let until = now + self.policy.subset.max_link_wait;
         self.parked.push(Parked { no, opening, until });
         true
     }
 
     /// Lets jobs go on whose links are up, have failed, or take too long.
-    pub(super) fn unpark(&mut self, now: time::Duration) {
+    pub(super) fn resume_parked_jobs(&mut self, now: time::Duration) {
         let subset = &self.subset;
         let waits = |parked: &Parked| {
-            now < parked.until && parked.opening.iter().any(|agent| subset.is_opening(agent))
+            now < parked.until
+                && parked
+                    .opening
+                    .iter()
+                    .any(|agent| subset.is_link_opening(agent))
         };
         let (waiting, over) = std::mem::take(&mut self.parked)
             .into_iter()
             .partition(waits);
         self.parked = waiting;
         for parked in over {
-            self.enqueue(now, parked.no);
+            self.queue_parked_job(now, parked.no);
         }
     }
 
     /// Agents that are wanted and have been out of reach for so long.
-    pub fn unreachable_for(&self, now: time::Duration, long: time::Duration) -> Vec<id::AgentId> {
-        self.subset.missing_for(now, long)
+    pub fn agents_unreachable_for(
+        &self,
+        now: time::Duration,
+        long: time::Duration,
+    ) -> Vec<id::AgentId> {
+        self.subset.agents_missing_for(now, long)
     }
 
     /// Agents that are listed, linked to or not.
-    pub(super) fn listed(&self) -> usize {
-        self.subset.listed()
+    pub(super) fn listed_agents(&self) -> usize {
+        self.subset.listed_agents()
     }
 
-    fn apply(&mut self, changes: impl IntoIterator<Item = LinkChange>) {
+    fn push_link_changes(&mut self, changes: impl IntoIterator<Item = LinkChange>) {
         self.actions.extend(changes.into_iter().map(Action::Link));
     }
 }
--- a/src/decide/besteffort/board/rescue.rs
+++ b/src/decide/besteffort/board/rescue.rs
@@ -12,23 +12,28 @@
 
 impl Board {
     /// Takes in how far a run is, and moves it where that ends it sooner.
-    pub(super) fn progress(&mut self, now: time::Duration, agent: &str, progress: &Progress) {
-        let Some((no, placed)) = self.placed(&progress.run, agent) else {
+    pub(super) fn record_progress(
+        &mut self,
+        now: time::Duration,
+        agent: &str,
+        progress: &Progress,
+    ) {
+        let Some((no, placed)) = self.placed_run(&progress.run, agent) else {
             return;
         };
         if progress.percent != placed.percent {
             placed.percent = progress.percent;
-            placed.changed = now;
+            placed.progressed_at = now;
         }
         let placed = placed.clone();
         let age = time::Duration::from_millis(progress.age_ms);
-        if age < self.policy.rescue.young || placed.moving {
+        if age < self.policy.relocation.min_age || placed.is_moving {
             return;
         }
-        self.judge(now, no, &progress.run, &placed, age);
+        self.move_if_sooner(now, no, &progress.run, &placed, age);
     }
 
-    fn judge(
+    fn move_if_sooner(
         &mut self,
         now: time::Duration,
         no: JobNo,
@@ -40,20 +45,20 @@
             return;
         };
         let estimate = job.estimate.as_secs_f64();
-        let still = now.saturating_sub(placed.changed);
-        let standing = still > self.policy.rescue.standstill
-            && still.as_secs_f64() / estimate * 100.0 > self.policy.rescue.expected;
+        let still = now.saturating_sub(placed.progressed_at);
+        let standing = still > self.policy.relocation.min_standstill
+            && still.as_secs_f64() / estimate * 100.0 > self.policy.relocation.min_expected_percent;
         let percent = f64::from(placed.percent.max(1));
         let projected = age.as_secs_f64() * 100.0 / percent;
-        if standing || projected > estimate * self.policy.rescue.slow {
-            self.learned.ratio(
+        if standing || projected > estimate * self.policy.relocation.min_slowness {
+            self.run_times.record_ratio(
                 &placed.agent,
                 projected / estimate,
-                self.policy.rescue.tells,
+                self.policy.relocation.learning_weight,
             );
         }
-        let slowness = self.learned.slowness(&placed.agent);
-        if !standing && slowness < self.policy.rescue.slow {
+        let slowness = self.run_times.slowness(&placed.agent);
+        if !standing && slowness < self.policy.relocation.min_slowness {
             return;
         }
         let here = if standing {
@@ -66,34 +71,38 @@
         } else {
             projected / slowness
         };
-        let others = self.holding(job).filter(|v| v.agent != placed.agent);
+        let others = self
+            .large_enough_agents(job)
+            .filter(|v| v.agent != placed.agent);
         // Where all are full a task goes to the head of the queue, and room comes free every few
         // milliseconds.
         let best = others
-            .map(|v| self.cost(job, v, self.learned.slowness(&v.agent)) / estimate * work)
+            .map(|v| {
+                self.expected_seconds(job, v, self.run_times.slowness(&v.agent)) / estimate * work
+            })
             .fold(f64::INFINITY, f64::min);
-        let elsewhere = best + self.policy.rescue.cost.as_secs_f64();
+        let elsewhere = best + self.policy.relocation.move_cost.as_secs_f64();
         let end = now + time::Duration::from_secs_f64(elsewhere.min(1e6));
-        if elsewhere * self.policy.rescue.gain < here && end < job.ask.deadline {
+        if elsewhere * self.policy.relocation.min_gain < here && end < job.submission.deadline {
             log::info!(job = run.job.as_str(), task = run.task, run = run.number,
                 agent = placed.agent.as_str(), percent = placed.percent, age_ms = age.as_millis() as u64,
                 slowness = (slowness * 100.0).round() / 100.0, standing = standing, elsewhere_ms = (elsewhere * 1e3) as u64;
                 "moving a run");
-            self.move_away(no, run, placed);
+            self.move_run(no, run, placed);
         }
     }
 
-    fn move_away(&mut self, no: JobNo, run: &Run, placed: &PlacedRun) {
+    fn move_run(&mut self, no: JobNo, run: &Run, placed: &PlacedRun) {
         let Some(link) = self.agents.get(&placed.agent).and_then(|view| view.link) else {
             return;
         };
-        if let Some((_, placed)) = self.placed(run, &placed.agent) {
-            placed.moving = true;
+        if let Some((_, placed)) = self.placed_run(run, &placed.agent) {
+            placed.is_moving = true;
         }
         if let Some(job) = self.jobs.get_mut(&no) {
-            job.moved += 1;
+            job.moved_runs += 1;
         }
-        self.counts.moved += 1;
+        self.counts.moved_runs += 1;
         self.actions.push(Action::Stop(link, run.clone()));
     }
 }
--- a/src/decide/besteffort/crashes.rs
+++ b/src/decide/besteffort/crashes.rs
@@ -61,7 +61,13 @@
 
 impl Crashes {
     /// Takes in what an agent tells of a crash. It replaces what the agent told of it before.
-    pub fn hear(&mut self, now: time::Duration, agent: &str, life: id::Incarnation, crash: &Crash) {
+    pub fn record(
+        &mut self,
+        now: time::Duration,
+        agent: &str,
+        life: id::Incarnation,
+        crash: &Crash,
+    ) {
         let id = (agent.into(), life, crash.server);
         self.known.retain(|known| known.id != id);
         if self.known.len() == MAX_KNOWN {
@@ -75,7 +81,7 @@
                 cleared: Vec::new(),
             });
         }
-        self.count();
+        self.recount_points();
         self.clear_innocent();
     }
 
@@ -104,7 +110,7 @@
     }
 
     /// The agents whose backend servers have crashed under a task, for the log.
-    pub fn agents(&self, job: &str, task: id::TaskIndex) -> Vec<&str> {
+    pub fn crashed_agents(&self, job: &str, task: id::TaskIndex) -> Vec<&str> {
         let is_meant = |name: &TaskName| name.job == job && name.task == task;
         let of = self.known.iter();
         let of = of.filter(|known| known.crash.suspects().any(is_meant));
@@ -112,16 +118,16 @@
     }
 
     /// Forgets what was too long ago.
-    pub fn forget(&mut self, now: time::Duration) {
+    pub fn forget_old(&mut self, now: time::Duration) {
         let before = self.known.len();
         self.known
             .retain(|known| now.saturating_sub(known.at) < REMEMBERED_FOR);
         if self.known.len() < before {
-            self.count();
+            self.recount_points();
         }
     }
 
-    fn count(&mut self) {
+    fn recount_points(&mut self) {
         self.points.clear();
         self.watched.clear();
         for known in &self.known {
@@ -153,6 +159,6 @@
                 crash.possible.retain(|name| causes.contains(name));
             }
         }
-        self.count();
+        self.recount_points();
     }
 }
--- a/src/decide/besteffort/evacuation.rs
+++ b/src/decide/besteffort/evacuation.rs
@@ -33,7 +33,7 @@
     /// The newest version of the store then.
     pub version: u64,
     /// Whether these are all domains that are evacuated, not only those of which that has changed.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Failure domains, and whether each is evacuated.
     pub domains: Vec<(CompactString, bool)>,
 }
@@ -48,13 +48,13 @@
 impl Evacuations {
     /// Takes in a reading; one that is older than what is known is passed over. Returns whether any domain
     /// was evacuated or taken back.
-    pub fn read(&mut self, reading: &StoreReading) -> bool {
+    pub fn update(&mut self, reading: &StoreReading) -> bool {
         if reading.version < self.version {
             return false;
         }
         self.version = reading.version;
         let before = self.domains.clone();
-        if reading.whole {
+        if reading.is_complete {
             self.domains.clear();
         }
         for (domain, evacuated) in &reading.domains {
@@ -73,7 +73,7 @@
     }
 
     /// What to tell the agents of a domain; nothing before anything was read.
-    pub fn word(&self, domain: &str) -> Option<DomainState> {
+    pub fn domain_state(&self, domain: &str) -> Option<DomainState> {
         (self.version > 0).then(|| DomainState {
             version: self.version,
             evacuated: self.domains.contains(domain),
--- a/src/decide/besteffort/flow.rs
+++ b/src/decide/besteffort/flow.rs
@@ -45,29 +45,29 @@
 
 impl Flow {
     /// A job of a priority was taken in that asks for this much room in all.
-    pub fn came(&mut self, now: time::Duration, priority: u32, room: f64) {
+    pub fn job_queued(&mut self, now: time::Duration, priority: u32, room: f64) {
         self.came.entry(priority).or_default().add(now, room);
     }
 
     /// A task was started in this much room, for about so long.
-    pub fn started(&mut self, now: time::Duration, room: f64, long: time::Duration) {
+    pub fn task_started(&mut self, now: time::Duration, room: f64, long: time::Duration) {
         self.room.add(now, room);
         self.work.add(now, room * long.as_secs_f64());
     }
 
     /// Room that is asked for a second and goes before a priority.
-    pub fn more_urgent(&self, now: time::Duration, priority: u32) -> f64 {
+    pub fn more_urgent_rate(&self, now: time::Duration, priority: u32) -> f64 {
         let more = self.came.range(..priority);
         more.map(|(_, rate)| rate.per_second(now)).sum()
     }
 
     /// Room that is taken a second.
-    pub fn starts(&self, now: time::Duration) -> f64 {
+    pub fn start_rate(&self, now: time::Duration) -> f64 {
         self.room.per_second(now)
     }
 
     /// How long room is taken for on average, in seconds; `otherwise` before anything was started.
-    pub fn mean_seconds(&self, now: time::Duration, otherwise: f64) -> f64 {
+    pub fn mean_run_seconds(&self, now: time::Duration, otherwise: f64) -> f64 {
         let room = self.room.per_second(now);
         if room > 0.0 {
             self.work.per_second(now) / room
--- a/src/decide/besteffort/job.rs
+++ b/src/decide/besteffort/job.rs
@@ -38,15 +38,15 @@
     /// Room that a task takes.
     pub need: Room,
     /// How long a task is said to run; rough.
-    pub declared: time::Duration,
+    pub declared_run_time: time::Duration,
     /// A label that a worker must have.
-    pub requires: Option<CompactString>,
+    pub required_label: Option<CompactString>,
     /// A label of the workers near the data.
-    pub near: Option<CompactString>,
+    pub near_label: Option<CompactString>,
     /// Most tasks on one worker.
-    pub per_worker: Option<u32>,
+    pub max_per_worker: Option<u32>,
     /// Failed runs of a task after which the job has failed.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Urgency of the class; 0 comes first.
     pub priority: u32,
     /// The target, as a multiple of the run time.
@@ -57,9 +57,9 @@
     pub deadline: time::Duration,
     /// By how much its caller's wait falls short of what callers of the class wait; see
     /// [`patience`](crate::decide::besteffort::patience).
-    pub short_by: time::Duration,
+    pub wait_shortfall: time::Duration,
     /// Larger than the number of any run that an earlier submission of this job may have had.
-    pub first_run: RunNumber,
+    pub first_run_number: RunNumber,
 }
 
 /// How a job ended, for its caller.
@@ -136,9 +136,9 @@
     /// Hundredths done, as last heard.
     pub percent: u8,
     /// When that changed last.
-    pub changed: time::Duration,
+    pub progressed_at: time::Duration,
     /// Whether it is being stopped to go elsewhere.
-    pub moving: bool,
+    pub is_moving: bool,
 }
 
 /// One task.
@@ -147,56 +147,56 @@
     /// Where it stands.
     pub state: State,
     /// Runs that failed.
-    pub failed: u32,
+    pub failed_runs: u32,
     /// The agent that had it last; the next run prefers another.
-    pub last: Option<id::AgentId>,
+    pub last_agent: Option<id::AgentId>,
 }
 
 /// One job.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// What was asked for.
-    pub ask: Submission,
+    pub submission: Submission,
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// When it came.
-    pub arrived: time::Duration,
+    pub arrived_at: time::Duration,
     /// How long a task is thought to run on a sound worker.
     pub estimate: time::Duration,
     /// Urgency of its class, or [`LATE_PRIORITY`].
     pub priority: u32,
     /// Latest time for a task to start if the target is to be met, or the answer to come in time if it
     /// can't be.
-    pub latest: time::Duration,
+    pub latest_start: time::Duration,
     /// The number of the next run.
-    pub next_run: RunNumber,
+    pub next_run_number: RunNumber,
     /// Starts sent, over all tasks.
-    pub starts: u32,
+    pub starts_sent: u32,
     /// Tasks that aren't done.
-    pub left: u32,
+    pub unfinished_tasks: u32,
     /// Tasks that were moved off a slow or failing worker.
-    pub moved: u32,
+    pub moved_runs: u32,
     /// When the first task was sent.
-    pub first_start: Option<time::Duration>,
+    pub first_start_at: Option<time::Duration>,
 }
 
 impl Job {
     /// Where a task of the job stands in the queue.
-    pub fn rank(&self, no: JobNo, task: id::TaskIndex) -> QueueKey {
-        (self.priority, self.latest, no, task)
+    pub fn queue_key(&self, no: JobNo, task: id::TaskIndex) -> QueueKey {
+        (self.priority, self.latest_start, no, task)
     }
 
     /// A run of one of its tasks.
     pub fn run(&self, task: id::TaskIndex, number: u64) -> Run {
         Run {
-            job: self.ask.job.clone(),
+            job: self.submission.job.clone(),
             task,
             number,
         }
     }
 
     /// Its runs that were sent to an agent and haven't ended, and where they are.
-    pub fn runs(&self) -> impl Iterator<Item = (Run, &PlacedRun)> {
+    pub fn placed_runs(&self) -> impl Iterator<Item = (Run, &PlacedRun)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(index, task)| match &task.state {
             State::Placed(placed) => {
@@ -208,10 +208,10 @@
     }
 
     /// The agents that have or had the tasks, in the order of the tasks, for the log.
-    pub fn places(&self) -> CompactString {
+    pub fn agent_names(&self) -> CompactString {
         let names = self.tasks.iter().map(|task| match &task.state {
             State::Placed(placed) => placed.agent.as_str(),
-            State::Waiting | State::Done => task.last.as_deref().unwrap_or("-"),
+            State::Waiting | State::Done => task.last_agent.as_deref().unwrap_or("-"),
         });
         let names: Vec<&str> = names.take(MAX_PLACES).collect();
         names.join(",").into()
@@ -220,7 +220,7 @@
     /// Whether the latest time for a start has passed before the first one. What would be late holds
     /// up what needn't be; its caller does better to come back.
     pub fn is_hopeless(&self, now: time::Duration) -> bool {
-        self.starts == 0 && now > self.latest
+        self.starts_sent == 0 && now > self.latest_start
     }
 
     /// Whether its target had passed when it came.
@@ -229,40 +229,40 @@
     }
 
     /// The room of all its tasks, in thousandths of a core.
-    pub fn room(&self) -> f64 {
-        self.ask.need.cpu as f64 * f64::from(self.ask.tasks)
+    pub fn total_room(&self) -> f64 {
+        self.submission.need.cpu as f64 * f64::from(self.submission.tasks)
     }
 
     /// Opens a job whose tasks all wait, of a caller that has waited for so long before.
     pub fn open(
-        ask: Submission,
+        submission: Submission,
         now: time::Duration,
         estimate: time::Duration,
         waited: time::Duration,
     ) -> Job {
         let task = Task {
             state: State::Waiting,
-            failed: 0,
-            last: None,
+            failed_runs: 0,
+            last_agent: None,
         };
-        let allowed = estimate.mul_f64((ask.stretch - 1.0).max(0.0)) + ask.slack;
-        let (priority, latest) = if waited <= allowed {
-            (ask.priority, now + allowed - waited)
+        let allowed = estimate.mul_f64((submission.stretch - 1.0).max(0.0)) + submission.slack;
+        let (priority, latest_start) = if waited <= allowed {
+            (submission.priority, now + allowed - waited)
         } else {
-            (LATE_PRIORITY, ask.deadline.saturating_sub(estimate))
+            (LATE_PRIORITY, submission.deadline.saturating_sub(estimate))
         };
         Job {
-            tasks: vec![task; ask.tasks as usize],
-            arrived: now,
+            tasks: vec![task; submission.tasks as usize],
+            arrived_at: now,
             estimate,
             priority,
-            latest,
-            next_run: ask.first_run,
-            starts: 0,
-            left: ask.tasks,
-            moved: 0,
-            first_start: None,
-            ask,
+            latest_start,
+            next_run_number: submission.first_run_number,
+            starts_sent: 0,
+            unfinished_tasks: submission.tasks,
+            moved_runs: 0,
+            first_start_at: None,
+            submission,
         }
     }
 }
--- a/src/decide/besteffort/learn.rs
+++ b/src/decide/besteffort/learn.rs
@@ -39,7 +39,7 @@
         let declared = declared.as_secs_f64().max(SHORTEST).ln();
         let seconds = match self.classes.get(class) {
             Some((mean, _)) => {
-                let weight = self.policy.declared;
+                let weight = self.policy.declared_weight;
                 weight * declared + (1.0 - weight) * mean
             }
             None => declared,
@@ -50,12 +50,12 @@
     /// How many times the usual run time an agent takes.
     pub fn slowness(&self, agent: &str) -> f64 {
         let own = self.agents.get(agent).copied().unwrap_or(self.median);
-        let (least, most) = self.policy.slowness;
+        let (least, most) = self.policy.slowness_bounds;
         (own - self.median).exp().clamp(least, most)
     }
 
     /// Takes in a run that was done.
-    pub fn done(
+    pub fn record_run(
         &mut self,
         class: &str,
         agent: &str,
@@ -69,29 +69,29 @@
         let gain = self.policy.class_gain.max(1.0 / f64::from(*seen));
         *mean += gain * (usual - *mean);
         let ratio = took / estimate.as_secs_f64().max(SHORTEST);
-        self.ratio(agent, ratio, self.policy.agent_gain);
+        self.record_ratio(agent, ratio, self.policy.agent_gain);
     }
 
     /// Takes in how an agent's work compares with what was expected of it.
-    pub fn ratio(&mut self, agent: &str, ratio: f64, gain: f64) {
+    pub fn record_ratio(&mut self, agent: &str, ratio: f64, gain: f64) {
         let own = self.agents.entry(agent.into()).or_insert(self.median);
-        let (least, most) = self.policy.slowness;
+        let (least, most) = self.policy.slowness_bounds;
         let ratio = ratio.clamp(least, most).ln();
         *own += gain * (ratio - *own);
     }
 
     /// Compares the agents anew. To be called fifty times a second.
-    pub fn compare(&mut self) {
+    pub fn update_median(&mut self) {
         let mut all: Vec<f64> = self.agents.values().copied().collect();
         all.sort_unstable_by(f64::total_cmp);
         self.median = all.get(all.len() / 2).copied().unwrap_or(0.0);
         for own in self.agents.values_mut() {
-            *own = self.median + self.policy.keep * (*own - self.median);
+            *own = self.median + self.policy.deviation_kept * (*own - self.median);
         }
     }
 
     /// Forgets an agent whose backend server was replaced.
-    pub fn forget(&mut self, agent: &str) {
+    pub fn forget_agent(&mut self, agent: &str) {
         self.agents.remove(agent);
     }
 }
--- a/src/decide/besteffort/lease.rs
+++ b/src/decide/besteffort/lease.rs
@@ -42,7 +42,7 @@
     /// See [`LEASE`].
     pub lease: time::Duration,
     /// See [`LONGEST_LEASE`].
-    pub longest: time::Duration,
+    pub longest_lease: time::Duration,
     /// See [`HEARTBEAT`].
     pub heartbeat: time::Duration,
 }
@@ -52,7 +52,7 @@
         Bounds {
             silence: SILENCE,
             lease: LEASE,
-            longest: LONGEST_LEASE,
+            longest_lease: LONGEST_LEASE,
             heartbeat: HEARTBEAT,
         }
     }
@@ -67,17 +67,17 @@
     /// Says which bound is too short, and what would be needed.
     pub fn check(&self, resubmit: Option<time::Duration>) -> Result<(), String> {
         let resubmit = resubmit.unwrap_or(RESUBMIT_AFTER);
-        if self.abandoned() >= resubmit {
+        if self.runs_end_within() >= resubmit {
             return Err(format!(
                 "callers submit again after {} ms, and a run may go on for {} ms; it would run twice",
                 resubmit.as_millis(),
-                self.abandoned().as_millis()
+                self.runs_end_within().as_millis()
             ));
         }
-        if self.lease > self.longest {
+        if self.lease > self.longest_lease {
             return Err(format!(
                 "the longest lease is {} ms, and {} ms are needed",
-                self.longest.as_millis(),
+                self.longest_lease.as_millis(),
                 self.lease.as_millis()
             ));
         }
@@ -85,13 +85,13 @@
     }
 
     /// Longest that a backend server goes on after the agent's last word to it.
-    pub fn lapse(&self) -> time::Duration {
+    pub fn lease_lapses_within(&self) -> time::Duration {
         self.lease.mul_f64(SLOW_CLOCK_FACTOR) + MAX_STOP_TIME
     }
 
     /// Longest that a run goes on after the entry's last word that reached its agent.
-    pub fn abandoned(&self) -> time::Duration {
-        self.silence + self.lapse() + DELAY_MARGIN
+    pub fn runs_end_within(&self) -> time::Duration {
+        self.silence + self.lease_lapses_within() + DELAY_MARGIN
     }
 }
 
@@ -128,8 +128,8 @@
 
     /// The lease on the next life under the same id. An order or renewal for the life before may have reached
     /// it: one that ends on the other clock, shortened to the longest that there is.
-    pub fn next_life(&self) -> Lease {
-        let may_be_longer = self.bounds.longest.mul_f64(SLOW_CLOCK_FACTOR) + DELAY_MARGIN;
+    pub fn next_incarnation(&self) -> Lease {
+        let may_be_longer = self.bounds.longest_lease.mul_f64(SLOW_CLOCK_FACTOR) + DELAY_MARGIN;
         Lease {
             granted: (self.granted + may_be_longer).saturating_sub(self.bounds.lease),
             ..Lease::open(self.bounds)
@@ -138,12 +138,12 @@
 
     /// Whether the lease outlives what would be asked for now. A run that begins under it would go on beside
     /// its successor where the agent dies.
-    pub fn is_long(&self, now: time::Duration) -> bool {
+    pub fn outlasts_new_lease(&self, now: time::Duration) -> bool {
         self.granted > now + self.bounds.lease
     }
 
     /// Takes in the backend server's clock, as an answer brought it.
-    pub fn heard(&mut self, sent: time::Duration, now: time::Duration, clock_ms: u64) {
+    pub fn record_answer(&mut self, sent: time::Duration, now: time::Duration, clock_ms: u64) {
         let offset = clock_ms as i64 - now.as_millis() as i64;
         self.offset = Some(offset);
         self.confirmed = self.confirmed.max(sent);
@@ -163,23 +163,23 @@
     }
 
     /// Whether everything on the backend server has ended for want of a lease.
-    pub fn lapsed(&self, now: time::Duration) -> bool {
-        now > self.granted + self.bounds.lapse() - self.bounds.lease
+    pub fn has_lapsed(&self, now: time::Duration) -> bool {
+        now > self.granted + self.bounds.lease_lapses_within() - self.bounds.lease
     }
 
     /// Whether the backend server has been silent for so long.
-    pub fn silent(&self, now: time::Duration, bound: time::Duration) -> bool {
+    pub fn is_silent(&self, now: time::Duration, bound: time::Duration) -> bool {
         now > self.answered + bound
     }
 
     /// How long ago the latest answer came; none if none did.
-    pub fn heard_ago(&self, now: time::Duration) -> Option<time::Duration> {
+    pub fn since_last_answer(&self, now: time::Duration) -> Option<time::Duration> {
         self.offset?;
         Some(now.saturating_sub(self.answered))
     }
 
     /// Whether a renewal is overdue, so that one more is worth a call of its own.
-    pub fn overdue(&self, now: time::Duration, after: time::Duration) -> bool {
+    pub fn is_renewal_overdue(&self, now: time::Duration, after: time::Duration) -> bool {
         now > self.confirmed + after
     }
 }
--- a/src/decide/besteffort/patience.rs
+++ b/src/decide/besteffort/patience.rs
@@ -26,7 +26,11 @@
 impl EarlierWaits {
     /// How long the caller of a job has waited before, given by how much its wait falls short of the class's
     /// time.
-    pub fn waited(&mut self, class: &CompactString, short_by: time::Duration) -> time::Duration {
+    pub fn earlier_wait(
+        &mut self,
+        class: &CompactString,
+        short_by: time::Duration,
+    ) -> time::Duration {
         let share = self.short.entry(class.clone()).or_default();
         let is_short = f64::from(u8::from(!short_by.is_zero()));
         *share += (is_short - *share) * GAIN;
--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -106,7 +106,7 @@
 
     /// When the backend server was last known to be up: it had listed what it has, or taken a start.
     fn last_up(&self, now: time::Duration) -> time::Duration {
-        let listed = now.saturating_sub(self.lease.heard_ago(now).unwrap_or_default());
+        let listed = now.saturating_sub(self.lease.since_last_answer(now).unwrap_or_default());
         let held = self.held.values();
         let running = held.filter(|held| held.state == State::Running);
         running.map(|held| held.since).fold(listed, Ord::max)
--- a/src/decide/besteffort/slots/lives.rs
+++ b/src/decide/besteffort/slots/lives.rs
@@ -202,7 +202,7 @@
         self.counts.lives += 1;
         // What is known of the clock and the lease is of the life before.
         if life.id == self.backend.incarnation.id {
-            self.lease = self.lease.next_life();
+            self.lease = self.lease.next_incarnation();
             self.inherit();
         } else {
             self.lease = Lease::open(self.bounds);
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -183,7 +183,7 @@
 
     /// How long ago the backend server answered; none if it never did.
     pub fn heard_ago(&self, now: time::Duration) -> Option<time::Duration> {
-        self.lease.heard_ago(now)
+        self.lease.since_last_answer(now)
     }
 
     /// Whether nothing is held.
@@ -225,10 +225,13 @@
 
     /// Looks at every time bound. To be called more often than any of them matters.
     pub fn tick(&mut self, now: time::Duration) {
-        if self.lease.silent(now, self.bounds.lease.mul_f64(UNREACHED)) {
+        if self
+            .lease
+            .is_silent(now, self.bounds.lease.mul_f64(UNREACHED))
+        {
             self.reach(now, false);
         }
-        if self.is_working() && self.lease.lapsed(now) {
+        if self.is_working() && self.lease.has_lapsed(now) {
             self.lost(now, LEASE_RAN_OUT);
         }
         let mut unwanted = Vec::new();
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -65,7 +65,7 @@
         self.is_working()
             && self
                 .lease
-                .overdue(now, self.bounds.lease.mul_f64(RENEW_AGAIN))
+                .is_renewal_overdue(now, self.bounds.lease.mul_f64(RENEW_AGAIN))
     }
 
     /// Counts a word of the backend server that tells nothing any more.
@@ -148,8 +148,8 @@
         }
         self.newest_ms = listing.clock_ms;
         self.life_answered(now);
-        self.lease.heard(sent, now, listing.clock_ms);
-        let is_long = self.lease.is_long(now);
+        self.lease.record_answer(sent, now, listing.clock_ms);
+        let is_long = self.lease.outlasts_new_lease(now);
         self.reach(now, !is_long);
         self.acknowledged = self.acknowledged.max(listing.last_end);
         for (run, how) in &listing.ended {
--- a/src/decide/besteffort/subset.rs
+++ b/src/decide/besteffort/subset.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
     /// No link is wanted.
-    Apart,
+    Unwanted,
     /// A link was asked for and has neither come up nor failed.
     Opening,
     Up,
@@ -64,7 +64,7 @@
     member: ListedAgent,
     state: State,
     /// When it was last of use beyond the base; none for the others.
-    extra: Option<time::Duration>,
+    extra_used_at: Option<time::Duration>,
 }
 
 /// The agents that an entry knows of, and which of them it links to.
@@ -96,18 +96,19 @@
     }
 
     /// Takes in what is listed of an agent. One with another address is linked anew.
-    pub fn list(&mut self, member: ListedAgent) -> Option<LinkChange> {
+    pub fn list_agent(&mut self, member: ListedAgent) -> Option<LinkChange> {
         let name = member.agent.clone();
         let old = self.known.get(&name).map(|known| {
-            let moved = known.member.addr != member.addr && known.state != State::Apart;
+            let moved = known.member.addr != member.addr && known.state != State::Unwanted;
             let stays = known.member.failure_domain == member.failure_domain;
-            (moved, stays, known.state, known.extra)
+            (moved, stays, known.state, known.extra_used_at)
         });
-        let (moved, stays, state, extra) = old.unwrap_or((false, false, State::Apart, None));
+        let (moved, stays, state, extra_used_at) =
+            old.unwrap_or((false, false, State::Unwanted, None));
         let known = Known {
             member,
-            state: if moved { State::Apart } else { state },
-            extra,
+            state: if moved { State::Unwanted } else { state },
+            extra_used_at,
         };
         self.known.insert(name.clone(), known);
         self.is_stale |= !stays;
@@ -116,26 +117,26 @@
 
     /// Takes in that an agent isn't listed any more. A link that is up proves more than a list: whoever took the row
     /// away may have been cut off from the agent, and what runs there would be lost with the link.
-    pub fn unlist(&mut self, agent: &str) -> Option<LinkChange> {
+    pub fn unlist_agent(&mut self, agent: &str) -> Option<LinkChange> {
         let known = self.known.get(agent)?;
         if known.state == State::Up {
             return None;
         }
-        let is_wanted = known.state != State::Apart;
+        let is_wanted = known.state != State::Unwanted;
         self.known.remove(agent);
         self.is_stale = true;
         is_wanted.then(|| LinkChange::Close(agent.into()))
     }
 
     /// The link to an agent is up.
-    pub fn up(&mut self, agent: &str) {
+    pub fn link_up(&mut self, agent: &str) {
         if let Some(known) = self.known.get_mut(agent) {
             known.state = State::Up;
         }
     }
 
     /// There is no link to an agent: it has ended, or couldn't be opened.
-    pub fn down(&mut self, now: time::Duration, agent: &str) {
+    pub fn link_down(&mut self, now: time::Duration, agent: &str) {
         if let Some(known) = self.known.get_mut(agent) {
             if matches!(known.state, State::Opening | State::Up) {
                 known.state = State::Missing(now);
@@ -144,13 +145,17 @@
     }
 
     /// Whether a link to an agent is wanted; one to an agent that isn't listed is the agent's own.
-    pub fn wants(&self, agent: &str) -> bool {
+    pub fn wants_link(&self, agent: &str) -> bool {
         let known = self.known.get(agent);
-        known.is_none_or(|known| known.state != State::Apart)
+        known.is_none_or(|known| known.state != State::Unwanted)
     }
 
     /// The agents that have been missing for so long.
-    pub fn missing_for(&self, now: time::Duration, long: time::Duration) -> Vec<id::AgentId> {
+    pub fn agents_missing_for(
+        &self,
+        now: time::Duration,
+        long: time::Duration,
+    ) -> Vec<id::AgentId> {
         let missing = self.known.iter().filter(
             |(_, known)| matches!(known.state, State::Missing(since) if now.saturating_sub(since) > long),
         );
@@ -158,29 +163,32 @@
     }
 
     /// How many agents are listed.
-    pub fn listed(&self) -> usize {
+    pub fn listed_agents(&self) -> usize {
         self.known.len()
     }
 
     /// Whether a link is on its way that may bring room.
-    pub fn is_opening(&self, agent: &str) -> bool {
+    pub fn is_link_opening(&self, agent: &str) -> bool {
         let known = self.known.get(agent);
         known.is_some_and(|known| known.state == State::Opening)
     }
 
     /// How many times the linked agents there are with those that may be linked to next, as of the last change:
     /// what waits needn't be refused for want of room before these were asked.
-    pub fn reach(&self) -> f64 {
+    pub fn reach_factor(&self) -> f64 {
         self.reach
     }
 
-    fn reckon_reach(&mut self) {
+    fn update_reach_factor(&mut self) {
         let up = self.known.values().filter(|k| k.state == State::Up).count();
         let apart = self
             .known
             .values()
-            .filter(|k| matches!(k.state, State::Apart | State::Opening));
-        let more = apart.count().min(self.spare()).min(self.policy.step);
+            .filter(|k| matches!(k.state, State::Unwanted | State::Opening));
+        let more = apart
+            .count()
+            .min(self.spare_extra_links())
+            .min(self.policy.extra_at_once);
         self.reach = if up > 0 {
             (up + more) as f64 / up as f64
         } else {
@@ -188,21 +196,24 @@
         };
     }
 
-    fn spare(&self) -> usize {
-        let extra = self.known.values().filter(|known| known.extra.is_some());
-        self.policy.most_extra.saturating_sub(extra.count())
+    fn spare_extra_links(&self) -> usize {
+        let extra = self
+            .known
+            .values()
+            .filter(|known| known.extra_used_at.is_some());
+        self.policy.max_extra.saturating_sub(extra.count())
     }
 
     /// Opens links to agents beyond the base that suit some work, the nearest first. Returns which are on their
     /// way, those of earlier calls included.
-    pub fn reach_out(
+    pub fn open_extra_links(
         &mut self,
         now: time::Duration,
         most: usize,
         suits: impl Fn(&ListedAgent) -> bool,
     ) -> (Vec<id::AgentId>, Vec<LinkChange>) {
-        self.reckon_order();
-        let spare = self.spare();
+        self.update_order();
+        let spare = self.spare_extra_links();
         let (mut opening, mut changes) = (Vec::new(), Vec::new());
         for name in &self.order {
             if opening.len() >= most {
@@ -216,51 +227,51 @@
             }
             match known.state {
                 State::Opening => opening.push(name.clone()),
-                State::Apart if changes.len() < spare => {
+                State::Unwanted if changes.len() < spare => {
                     known.state = State::Opening;
-                    known.extra = Some(now);
+                    known.extra_used_at = Some(now);
                     opening.push(name.clone());
                     changes.push(LinkChange::Open(name.clone(), known.member.addr));
                 }
-                State::Apart | State::Missing(_) | State::Up => {}
+                State::Unwanted | State::Missing(_) | State::Up => {}
             }
         }
-        self.reckon_reach();
+        self.update_reach_factor();
         (opening, changes)
     }
 
     /// Opens what the base lacks and closes what nobody has used for a while. `is_used` tells of an agent
     /// whether it has work of this entry; its link stays.
-    pub fn review(
+    pub fn review_links(
         &mut self,
         now: time::Duration,
         is_used: impl Fn(&id::AgentId) -> bool,
     ) -> Vec<LinkChange> {
-        self.reckon_order();
+        self.update_order();
         let base = self.base(now);
         let mut changes = Vec::new();
         for (name, known) in &mut self.known {
             if base.contains(name) {
-                known.extra = None;
-                if known.state == State::Apart {
+                known.extra_used_at = None;
+                if known.state == State::Unwanted {
                     known.state = State::Opening;
                     changes.push(LinkChange::Open(name.clone(), known.member.addr));
                 }
                 continue;
             }
-            if known.state == State::Apart {
+            if known.state == State::Unwanted {
                 continue;
             }
-            let last = known.extra.get_or_insert(now);
+            let last = known.extra_used_at.get_or_insert(now);
             if is_used(name) {
                 *last = now;
-            } else if now.saturating_sub(*last) >= self.policy.linger {
-                known.extra = None;
-                known.state = State::Apart;
+            } else if now.saturating_sub(*last) >= self.policy.unused_timeout {
+                known.extra_used_at = None;
+                known.state = State::Unwanted;
                 changes.push(LinkChange::Close(name.clone()));
             }
         }
-        self.reckon_reach();
+        self.update_reach_factor();
         changes
     }
 
@@ -270,15 +281,15 @@
         let mut base = BTreeSet::new();
         let mut there = 0;
         for name in &self.order {
-            if there == self.policy.size || base.len() == 2 * self.policy.size {
+            if there == self.policy.base_size || base.len() == 2 * self.policy.base_size {
                 break;
             }
             let Some(known) = self.known.get(name) else {
                 continue;
             };
             let is_missing = match known.state {
-                State::Missing(since) => now.saturating_sub(since) >= self.policy.missing,
-                State::Apart | State::Opening | State::Up => false,
+                State::Missing(since) => now.saturating_sub(since) >= self.policy.replaced_after,
+                State::Unwanted | State::Opening | State::Up => false,
             };
             there += usize::from(!is_missing);
             base.insert(name.clone());
@@ -288,7 +299,7 @@
 
     /// Brings the order up to date: of each failure domain the agents as drawn by this entry, some of its own and
     /// then one of another in turn, so that the loss of a whole domain or rack leaves agents of others.
-    fn reckon_order(&mut self) {
+    fn update_order(&mut self) {
         if !std::mem::take(&mut self.is_stale) {
             return;
         }
@@ -318,7 +329,7 @@
         let mut order = Vec::with_capacity(self.known.len());
         for (rank, name) in own {
             order.push(name.clone());
-            if (rank + 1) % self.policy.near == 0 {
+            if (rank + 1) % self.policy.own_per_other == 0 {
                 order.extend(others.next().cloned());
             }
         }
--- a/src/decide/besteffort/view.rs
+++ b/src/decide/besteffort/view.rs
@@ -17,7 +17,7 @@
     pub agent: id::AgentId,
     policy: policy::Barring,
     /// Which life of it.
-    pub life: id::Incarnation,
+    pub incarnation: id::Incarnation,
     /// Its link; none while it is cut off.
     pub link: Option<LinkNo>,
     /// Its failure domain.
@@ -25,13 +25,13 @@
     /// The backend server beside it.
     pub backend: Backend,
     /// The most room that this life of the backend server has had.
-    pub largest: Room,
+    pub largest_size: Room,
     /// When it was heard last.
-    pub heard: time::Duration,
+    pub heard_at: time::Duration,
     /// Runs of ours that it has.
-    pub runs: u32,
+    pub run_count: u32,
     /// How many entries compete for its room, this one included.
-    pub sharers: u32,
+    pub competing_entries: u32,
     free: Room,
     /// The part of it that the agent keeps for this entry until it answers.
     lent: Room,
@@ -48,45 +48,45 @@
     pub fn open(
         policy: policy::Barring,
         agent: id::AgentId,
-        life: id::Incarnation,
+        incarnation: id::Incarnation,
         now: time::Duration,
     ) -> AgentView {
         AgentView {
             agent,
             policy,
-            life,
+            incarnation,
             link: None,
             failure_domain: CompactString::default(),
             backend: Backend::default(),
-            largest: Room::default(),
-            heard: now,
-            runs: 0,
-            sharers: 1,
+            largest_size: Room::default(),
+            heard_at: now,
+            run_count: 0,
+            competing_entries: 1,
             free: Room::default(),
             lent: Room::default(),
             sent: 0,
             unread: VecDeque::new(),
             failures: 0.0,
             barred_until: time::Duration::ZERO,
-            bar: policy.first,
+            bar: policy.first_bar,
             avoid_until: time::Duration::ZERO,
         }
     }
 
     /// Begins a new link.
-    pub fn linked(&mut self, link: LinkNo, now: time::Duration) {
+    pub fn link_opened(&mut self, link: LinkNo, now: time::Duration) {
         self.link = Some(link);
-        self.heard = now;
+        self.heard_at = now;
         self.sent = 0;
         self.unread.clear();
     }
 
     /// Takes in what the agent says of its room.
-    pub fn heard(&mut self, now: time::Duration, line: &AgentMessage) {
-        self.heard = now;
+    pub fn update(&mut self, now: time::Duration, line: &AgentMessage) {
+        self.heard_at = now;
         self.free = line.free;
         self.lent = line.lent;
-        self.sharers = line.sharers.max(1);
+        self.competing_entries = line.sharers.max(1);
         while self
             .unread
             .front()
@@ -96,18 +96,18 @@
         }
         if let Some(backend) = &line.backend {
             if backend.incarnation != self.backend.incarnation {
-                self.recovered();
-                self.largest = Room::default();
+                self.clear_failures();
+                self.largest_size = Room::default();
             }
-            self.largest = self.largest.max(&backend.size);
+            self.largest_size = self.largest_size.max(&backend.size);
             self.backend = backend.clone();
         }
     }
 
     /// Counts a start that was sent.
-    pub fn sent(&mut self, need: Room) {
+    pub fn start_sent(&mut self, need: Room) {
         self.sent += 1;
-        self.runs += 1;
+        self.run_count += 1;
         if self.lent.fits(&need) {
             self.lent = self.lent.minus(&need);
         }
@@ -116,14 +116,14 @@
 
     /// What the agent keeps for us and we don't use goes to others with our next line. Counted on any
     /// longer, three of four starts in a burst met a worker that had given the room away.
-    pub fn give_back(&mut self) {
+    pub fn return_lent_room(&mut self) {
         self.free = self.free.minus(&self.lent);
         self.lent = Room::default();
     }
 
     /// Counts runs of ours that it has no more.
-    pub fn ended(&mut self, runs: u32) {
-        self.runs = self.runs.saturating_sub(runs);
+    pub fn runs_ended(&mut self, runs: u32) {
+        self.run_count = self.run_count.saturating_sub(runs);
     }
 
     /// Room that is left, less what the agent hasn't read yet.
@@ -133,8 +133,8 @@
     }
 
     /// Whether a task may be sent now.
-    pub fn takes(&self, now: time::Duration) -> bool {
-        let risked = self.failures >= self.policy.failing && self.runs > 0;
+    pub fn accepts_tasks(&self, now: time::Duration) -> bool {
+        let risked = self.failures >= self.policy.barred_from && self.run_count > 0;
         self.link.is_some()
             && self.backend.takes_work
             && now >= self.barred_until
@@ -143,38 +143,38 @@
     }
 
     /// Whether it is there at all, sick or not.
-    pub fn is_there(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         self.link.is_some() && self.backend.takes_work
     }
 
     /// A run failed, or the backend server turned it away. Returns whether the agent is barred now.
-    pub fn failed(&mut self, now: time::Duration) -> bool {
+    pub fn run_failed(&mut self, now: time::Duration) -> bool {
         self.failures += 1.0;
-        if self.failures < self.policy.failing {
+        if self.failures < self.policy.barred_from {
             return false;
         }
         self.barred_until = now + self.bar;
-        self.bar = (self.bar * 2).min(self.policy.longest);
+        self.bar = (self.bar * 2).min(self.policy.longest_bar);
         true
     }
 
     /// A run was done.
-    pub fn done(&mut self) {
-        self.failures *= self.policy.forgives;
-        if self.failures < self.policy.sound {
-            self.recovered();
+    pub fn run_done(&mut self) {
+        self.failures *= self.policy.success_factor;
+        if self.failures < self.policy.sound_below {
+            self.clear_failures();
         }
     }
 
     /// Nothing speaks against the agent any more.
-    fn recovered(&mut self) {
+    fn clear_failures(&mut self) {
         self.failures = 0.0;
-        self.bar = self.policy.first;
+        self.bar = self.policy.first_bar;
         self.barred_until = time::Duration::ZERO;
     }
 
     /// The agent had no room for a start.
-    pub fn turned_away(&mut self, now: time::Duration) {
-        self.avoid_until = now + self.policy.turned_away;
+    pub fn had_no_room(&mut self, now: time::Duration) {
+        self.avoid_until = now + self.policy.no_room_pause;
     }
 }
--- a/tests/besteffort_board.rs
+++ b/tests/besteffort_board.rs
@@ -36,17 +36,17 @@
             memory_mb: 1,
             accelerators: 0,
         },
-        declared: ms(100),
-        requires: None,
-        near: None,
-        per_worker: None,
-        attempts: 2,
+        declared_run_time: ms(100),
+        required_label: None,
+        near_label: None,
+        max_per_worker: None,
+        max_attempts: 2,
         priority,
         stretch: 2.0,
         slack: ms(400),
         deadline: ms(START + 5_000),
-        short_by: Duration::ZERO,
-        first_run: 1,
+        wait_shortfall: Duration::ZERO,
+        first_run_number: 1,
     }
 }
 
@@ -80,7 +80,7 @@
         size: room(tasks),
         takes_work: true,
     });
-    board.heard(ms(at), link, &first);
+    board.handle_message(ms(at), link, &first);
 }
 
 /// An entry that has run for a second, with agents that have just connected.
@@ -101,7 +101,7 @@
 }
 
 fn starts(board: &mut Board) -> Vec<(u64, Start)> {
-    let actions = board.actions().into_iter();
+    let actions = board.take_actions().into_iter();
     let starts = actions.filter_map(|action| match action {
         Action::Start(link, start) => Some((link, start)),
         _ => None,
@@ -110,7 +110,7 @@
 }
 
 fn answers(board: &mut Board) -> Vec<(JobNo, Outcome)> {
-    let actions = board.actions().into_iter();
+    let actions = board.take_actions().into_iter();
     let answers = actions.filter_map(|action| match action {
         Action::Answer(no, outcome) => Some((no, outcome)),
         _ => None,
@@ -125,7 +125,7 @@
         outcome,
         took_ms: 100,
     });
-    board.heard(ms(at), link, &line);
+    board.handle_message(ms(at), link, &line);
 }
 
 /// A job is answered only when each of its tasks is done, and once.
@@ -225,13 +225,13 @@
     submit(&mut board, START, ask("job", 1, 0));
     let (link, start) = starts(&mut board).remove(0);
     board.agent_down(ms(START + 100), link);
-    let bound = START + Bounds::default().abandoned().as_millis() as u64;
+    let bound = START + Bounds::default().runs_end_within().as_millis() as u64;
     for at in (START + 100..=bound).step_by(20) {
-        board.heard(ms(at), 3 - link, &line(1, 0));
+        board.handle_message(ms(at), 3 - link, &line(1, 0));
         board.tick(ms(at));
     }
     assert_eq!(starts(&mut board).len(), 0, "it may still run");
-    board.heard(ms(bound + 20), 3 - link, &line(1, 0));
+    board.handle_message(ms(bound + 20), 3 - link, &line(1, 0));
     board.tick(ms(bound + 20));
     let (other, again) = starts(&mut board).remove(0);
     assert_ne!(other, link);
@@ -248,7 +248,7 @@
     board.agent_down(ms(START + 10), 1);
     let kept = sent[0].1.run.clone();
     board.agent_up(ms(START + 50), 2, &hello("agent-1", 1, vec![kept.clone()]));
-    board.heard(ms(START + 50), 2, &line(3, 0));
+    board.handle_message(ms(START + 50), 2, &line(3, 0));
     let again = starts(&mut board);
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].1.run.task, sent[1].1.run.task);
@@ -270,7 +270,7 @@
     let mut board = open(1, 4);
     board.agent_down(ms(START + 10), 1);
     board.agent_up(ms(START + 50), 2, &hello("agent-1", 2, Vec::new()));
-    board.heard(ms(START + 50), 2, &line(4, 0));
+    board.handle_message(ms(START + 50), 2, &line(4, 0));
     let refused = board.submit(ms(START + 60), ask("job", 1, 0));
     let why = matches!(
         refused,
@@ -289,7 +289,7 @@
         .map(|(_, start)| start.run)
         .collect();
     board.caller_left(ms(START + 20), no);
-    let actions = board.actions().into_iter();
+    let actions = board.take_actions().into_iter();
     let stopped = actions.filter_map(|action| match action {
         Action::Stop(1, run) => Some(run),
         _ => None,
@@ -355,9 +355,9 @@
             percent: 3,
             age_ms: at - START,
         });
-        board.heard(ms(at), link, &line);
+        board.handle_message(ms(at), link, &line);
         let stops = board
-            .actions()
+            .take_actions()
             .into_iter()
             .filter(|a| matches!(a, Action::Stop(..)))
             .count();
@@ -368,7 +368,7 @@
     }
     let at = stopped.expect("it is moved");
     assert!(at < START + 600, "after {} ms", at - START);
-    board.heard(ms(at + 1), 3 - link, &line(1, 0));
+    board.handle_message(ms(at + 1), 3 - link, &line(1, 0));
     assert_eq!(
         starts(&mut board).len(),
         0,
@@ -389,11 +389,11 @@
     second.slack = ms(60_000);
     let second = submit(&mut board, START, second);
     let (link, start) = starts(&mut board).remove(0);
-    board.stood_still(ms(START + 300));
+    board.process_resumed(ms(START + 300));
     end(&mut board, START + 301, link, &start.run, RunOutcome::Done);
     assert_eq!(starts(&mut board).len(), 0);
     board.caller_left(ms(START + 302), second);
-    board.heard(ms(START + 400), 1, &line(1, 1));
+    board.handle_message(ms(START + 400), 1, &line(1, 1));
     board.tick(ms(START + 400));
     assert_eq!(starts(&mut board).len(), 0, "its caller has left");
 }
@@ -405,7 +405,7 @@
     let mut board = open(1, 4);
     board.stop_by(ms(START + 1_000));
     let mut long = ask("long", 1, 0);
-    long.declared = ms(800);
+    long.declared_run_time = ms(800);
     let refused = board.submit(ms(START), long);
     assert!(matches!(
         refused,
@@ -439,11 +439,11 @@
                     outcome: RunOutcome::Done,
                     took_ms: 100,
                 });
-                board.heard(ms(at), 1, &line);
+                board.handle_message(ms(at), 1, &line);
             }
             *until > at
         });
-        board.heard(ms(at), 1, &line(4 - running.len() as i64, taken));
+        board.handle_message(ms(at), 1, &line(4 - running.len() as i64, taken));
         let mut short = ask(&format!("short-{n}"), 1, 0);
         short.deadline = ms(at + 5_000);
         submit(&mut board, at, short);
@@ -458,7 +458,7 @@
         submit(&mut board, at, short);
     }
     let mut long = ask("long", 2, 2);
-    long.declared = ms(900);
+    long.declared_run_time = ms(900);
     long.slack = ms(700);
     long.deadline = ms(at + 5_000);
     let admitted = board.submit(ms(at), long);
@@ -476,7 +476,7 @@
     let sent = starts(&mut board);
     let (sick, start) = &sent[0];
     let sound = 3 - sick;
-    board.heard(ms(START + 5), sound, &line(0, 100));
+    board.handle_message(ms(START + 5), sound, &line(0, 100));
     end(
         &mut board,
         START + 10,
@@ -540,14 +540,14 @@
     let mut board = open(1, 2);
     let mut lent = line(2, 0);
     lent.lent = room(2);
-    board.heard(ms(START), 1, &lent);
+    board.handle_message(ms(START), 1, &lent);
     submit(&mut board, START + 5, ask("job", 2, 0));
     assert_eq!(starts(&mut board).len(), 0, "the room went back");
-    let waits = board.wants().expect("two tasks wait");
+    let waits = board.waiting_work().expect("two tasks wait");
     assert_eq!((waits.tasks, waits.priority), (2, 0));
-    board.heard(ms(START + 10), 1, &lent);
+    board.handle_message(ms(START + 10), 1, &lent);
     assert_eq!(starts(&mut board).len(), 2);
-    assert_eq!(board.wants(), None);
+    assert_eq!(board.waiting_work(), None);
 }
 
 /// Callers wait for a second and more: an entry that stood still for half a second gave up all its
@@ -557,9 +557,9 @@
 fn agents_aren_t_given_up_before_they_can_be_heard() {
     let mut board = open(2, 2);
     let woken = START + 600;
-    board.stood_still(ms(woken));
+    board.process_resumed(ms(woken));
     board.tick(ms(woken));
-    board.heard(ms(woken + 5), 1, &line(2, 0));
+    board.handle_message(ms(woken + 5), 1, &line(2, 0));
     board.tick(ms(woken + 100));
     assert_eq!(board.membership(ms(woken + 100)).linked, 2);
     board.tick(ms(woken + 201));
@@ -581,10 +581,10 @@
         connect(&mut board, START + 50 + 10 * n, n, &format!("agent-{n}"), 4);
     }
     assert_eq!(starts(&mut board).len(), 32);
-    assert_eq!(board.find("behind"), Some(waits));
-    assert!(!board.is_settled(ms(START + 200)));
+    assert_eq!(board.find_job("behind"), Some(waits));
+    assert!(!board.has_found_agents(ms(START + 200)));
     assert!(
-        board.is_settled(ms(START + 320)),
+        board.has_found_agents(ms(START + 320)),
         "no agent came for a while"
     );
     let alone = |at: u64| {
@@ -609,13 +609,13 @@
     let mut board = open(1, 10);
     let again = |job: &str| {
         let mut ask = ask(job, 10, 0);
-        ask.short_by = ms(1_000);
+        ask.wait_shortfall = ms(1_000);
         ask.slack = ms(60);
         ask
     };
     submit(&mut board, START, again("again"));
     assert_eq!(starts(&mut board).len(), 9, "it leaves a place free");
-    assert_eq!(board.wants(), None, "and asks for none");
+    assert_eq!(board.waiting_work(), None, "and asks for none");
     submit(&mut board, START + 1, ask("new", 1, 2));
     assert_eq!(starts(&mut board)[0].1.run.job, "new");
 
@@ -623,8 +623,8 @@
     for n in 0..100 {
         let no = submit(&mut board, START, again(&format!("habit-{n}")));
         board.caller_left(ms(START), no);
-        board.actions();
-        board.heard(ms(START), 1, &line(10, 10 * (n + 1)));
+        board.take_actions();
+        board.handle_message(ms(START), 1, &line(10, 10 * (n + 1)));
     }
     submit(&mut board, START, again("usual"));
     assert_eq!(starts(&mut board).len(), 10);
--- a/tests/besteffort_crashes.rs
+++ b/tests/besteffort_crashes.rs
@@ -304,23 +304,23 @@
         unreachable!("three were made")
     };
     let mut crashes = Crashes::default();
-    crashes.hear(ms(0), "a", 1, &crash(1, &[cause, beside], &[old]));
+    crashes.record(ms(0), "a", 1, &crash(1, &[cause, beside], &[old]));
     assert_eq!(crashes.suspicion("job", 1), LIKELY_POINTS);
     assert_eq!(crashes.suspicion("job", 2), POSSIBLE_POINTS);
     assert_eq!(crashes.cause_in("job"), None);
     // The same crash, told once more.
-    crashes.hear(ms(1), "a", 1, &crash(1, &[cause, beside], &[old]));
+    crashes.record(ms(1), "a", 1, &crash(1, &[cause, beside], &[old]));
     assert_eq!(crashes.suspicion("job", 0), LIKELY_POINTS);
-    crashes.hear(ms(2), "b", 1, &crash(1, &[cause], &[]));
+    crashes.record(ms(2), "b", 1, &crash(1, &[cause], &[]));
     assert_eq!(crashes.suspicion("job", 0), CAUSE_POINTS);
     assert_eq!(crashes.cause_in("job"), Some(0));
-    assert_eq!(crashes.agents("job", 0), ["a", "b"]);
+    assert_eq!(crashes.crashed_agents("job", 0), ["a", "b"]);
     assert_eq!(
         (crashes.suspicion("job", 1), crashes.suspicion("job", 2)),
         (LIKELY_POINTS, 0),
         "the likely one stays on probation"
     );
-    crashes.forget(ms(60_000));
+    crashes.forget_old(ms(60_000));
     assert_eq!(crashes.cause_in("job"), None);
 }
 
@@ -330,16 +330,16 @@
 fn a_cause_that_was_cleared_is_given_up_after_its_second_crash() {
     let (first, second) = (name(&run("job", 0, 1)), name(&run("other", 0, 1)));
     let mut crashes = Crashes::default();
-    crashes.hear(ms(0), "a", 1, &crash(1, &[&first, &second], &[]));
+    crashes.record(ms(0), "a", 1, &crash(1, &[&first, &second], &[]));
     let proven = |name: &TaskName| Crash {
         server: 1,
         proven: vec![name.clone()],
         ..Crash::default()
     };
-    crashes.hear(ms(1), "b", 1, &proven(&first));
+    crashes.record(ms(1), "b", 1, &proven(&first));
     assert_eq!(crashes.cause_in("other"), None);
     assert_eq!(crashes.suspicion("other", 0), LIKELY_POINTS);
-    crashes.hear(ms(2), "c", 1, &proven(&second));
+    crashes.record(ms(2), "c", 1, &proven(&second));
     assert_eq!(crashes.cause_in("other"), Some(0));
 }
 
@@ -348,7 +348,7 @@
 fn a_crash_that_is_taken_back_counts_no_more() {
     let task = name(&run("job", 0, 1));
     let mut crashes = Crashes::default();
-    crashes.hear(ms(0), "a", 1, &crash(1, &[&task], &[]));
-    crashes.hear(ms(1), "a", 1, &crash(1, &[], &[]));
+    crashes.record(ms(0), "a", 1, &crash(1, &[&task], &[]));
+    crashes.record(ms(1), "a", 1, &crash(1, &[], &[]));
     assert_eq!(crashes.suspicion("job", 0), 0);
 }
--- a/tests/besteffort_evacuation.rs
+++ b/tests/besteffort_evacuation.rs
@@ -23,7 +23,7 @@
 fn whole(version: u64, names: &[&str]) -> StoreReading {
     StoreReading {
         version,
-        whole: true,
+        is_complete: true,
         domains: names.iter().map(|name| ((*name).into(), true)).collect(),
     }
 }
@@ -32,7 +32,7 @@
 fn change(version: u64, name: &str, evacuated: bool) -> StoreReading {
     StoreReading {
         version,
-        whole: false,
+        is_complete: false,
         domains: vec![(name.into(), evacuated)],
     }
 }
@@ -148,22 +148,22 @@
 #[test]
 fn what_an_entry_has_read() {
     let mut known = Evacuations::default();
-    assert_eq!(known.word("a"), None, "nothing was read yet");
-    assert!(!known.read(&whole(5, &[])));
-    assert_eq!(known.word("a"), Some(word(5, false)));
-    assert!(known.read(&whole(7, &["a"])));
-    assert!(!known.read(&whole(8, &["a"])), "no news");
-    assert!(!known.read(&whole(6, &[])), "overtaken");
-    assert_eq!(known.word("a"), Some(word(8, true)));
-    assert_eq!(known.word("b"), Some(word(8, false)));
-    assert!(known.read(&whole(9, &["b"])));
-    assert_eq!(known.word("a"), Some(word(9, false)));
-    assert!(known.read(&change(10, "a", true)), "beside the other");
-    assert_eq!(known.word("b"), Some(word(10, true)));
-    assert!(known.read(&change(11, "b", false)));
-    assert!(!known.read(&change(10, "b", true)), "overtaken");
-    assert_eq!(known.word("a"), Some(word(11, true)));
-    assert_eq!(known.word("b"), Some(word(11, false)));
+    assert_eq!(known.domain_state("a"), None, "nothing was read yet");
+    assert!(!known.update(&whole(5, &[])));
+    assert_eq!(known.domain_state("a"), Some(word(5, false)));
+    assert!(known.update(&whole(7, &["a"])));
+    assert!(!known.update(&whole(8, &["a"])), "no news");
+    assert!(!known.update(&whole(6, &[])), "overtaken");
+    assert_eq!(known.domain_state("a"), Some(word(8, true)));
+    assert_eq!(known.domain_state("b"), Some(word(8, false)));
+    assert!(known.update(&whole(9, &["b"])));
+    assert_eq!(known.domain_state("a"), Some(word(9, false)));
+    assert!(known.update(&change(10, "a", true)), "beside the other");
+    assert_eq!(known.domain_state("b"), Some(word(10, true)));
+    assert!(known.update(&change(11, "b", false)));
+    assert!(!known.update(&change(10, "b", true)), "overtaken");
+    assert_eq!(known.domain_state("a"), Some(word(11, true)));
+    assert_eq!(known.domain_state("b"), Some(word(11, false)));
 }
 
 /// A failure domain stays without work for good. It was evacuated and taken back between two looks of one
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -143,23 +143,29 @@
 fn a_few_agents_are_asked_at_a_time() {
     let links: BTreeMap<u64, ()> = (1..=20).map(|link| (link, ())).collect();
     let mut asking = RoomRequests::default();
-    let first = asking.due(ms(START), 1, &links);
+    let first = asking.links_to_ask(ms(START), 1, &links);
     assert_eq!(first, [1, 2, 3, 4, 5, 6]);
     for link in &first {
-        asking.said(*link, Some(1));
+        asking.message_sent(*link, Some(1));
     }
-    assert!(asking.due(ms(START + 9), 1, &links).is_empty(), "too soon");
-    let second = asking.due(ms(START + 10), 1, &links);
+    assert!(
+        asking.links_to_ask(ms(START + 9), 1, &links).is_empty(),
+        "too soon"
+    );
+    let second = asking.links_to_ask(ms(START + 10), 1, &links);
     assert_eq!(second, [7, 8, 9, 10, 11, 12]);
     for link in second.into_iter().chain(13..=20) {
-        asking.said(link, Some(1));
+        asking.message_sent(link, Some(1));
     }
-    assert!(asking.due(ms(START + 20), 1, &links).is_empty(), "all know");
-    let urgent = asking.due(ms(START + 30), 0, &links);
+    assert!(
+        asking.links_to_ask(ms(START + 20), 1, &links).is_empty(),
+        "all know"
+    );
+    let urgent = asking.links_to_ask(ms(START + 30), 0, &links);
     assert_eq!(urgent.len(), 6, "not that it is urgent");
-    asking.said(3, None);
-    asking.closed(4);
-    assert_eq!(asking.due(ms(START + 40), 1, &links), [3, 4]);
+    asking.message_sent(3, None);
+    asking.link_closed(4);
+    assert_eq!(asking.links_to_ask(ms(START + 40), 1, &links), [3, 4]);
 }
 
 /// Callers are refused although their work had time: an entry reckoned with a third of the workers, as
--- a/tests/besteffort_load/world.rs
+++ b/tests/besteffort_load/world.rs
@@ -164,7 +164,7 @@
                     world.connect(e, a);
                 } else {
                     let member = world.member(a);
-                    world.entries[e].board.list(member);
+                    world.entries[e].board.list_agent(member);
                 }
             }
             let phase = world.rng.random_range(0..TICK);
@@ -200,10 +200,10 @@
     fn new_entry(&self, e: usize) -> Entry {
         let mut policy = Policy::default();
         if self.load.base > 0 {
-            policy.subset.size = self.load.base;
+            policy.subset.base_size = self.load.base;
         }
         if self.load.links == Links::Base {
-            policy.subset.most_extra = 0;
+            policy.subset.max_extra = 0;
         }
         let name = &self.names[e].entry;
         let mut board = Board::open(name, &self.domain(e), Bounds::default(), policy);
@@ -274,7 +274,7 @@
         if entry.links.remove(&link).is_some() {
             entry.out.remove(&link);
             entry.seen.remove(&link);
-            entry.asking.closed(link);
+            entry.asking.link_closed(link);
             entry.board.agent_down(at(self.now), link);
         }
     }
@@ -286,7 +286,7 @@
         }
         if self.agents[a].is_lost {
             let name = format!("agent-{a}");
-            self.entries[e].board.unreachable(at(self.now), &name);
+            self.entries[e].board.agent_unreachable(at(self.now), &name);
             self.after(CONNECT, Event::Linked(e, a));
             return;
         }
@@ -402,14 +402,14 @@
         self.jobs += 1;
         let mut ask = load::ask(self.jobs, class, at(self.now));
         if self.load.labelled > 0 && self.rng.random_range(0..100) < self.load.labelled {
-            ask.requires = Some(RARE.into());
+            ask.required_label = Some(RARE.into());
         }
         let again = self.load.returning > 0 && self.rng.random_range(0..100) < self.load.returning;
         if again {
             ask.deadline -= WAITED;
         }
         if again && self.load.says_so {
-            ask.short_by = WAITED;
+            ask.wait_shortfall = WAITED;
         }
         let sound = !self.load.has_crashing_task(&ask.job) && !again;
         self.seen.jobs[class].all += u64::from(sound);
@@ -437,7 +437,7 @@
     }
 
     fn flush_entry(&mut self, e: usize) {
-        for action in self.entries[e].board.actions() {
+        for action in self.entries[e].board.take_actions() {
             match action {
                 Action::Start(link, start) => {
                     self.seen.starts += 1;
@@ -454,7 +454,7 @@
                 Action::Close(link) => {
                     let name = format!("agent-{link}");
                     self.unlink(e, link);
-                    self.entries[e].board.unreachable(at(self.now), &name);
+                    self.entries[e].board.agent_unreachable(at(self.now), &name);
                     self.after(CONNECT, Event::Linked(e, link as usize));
                 }
                 Action::Link(change) => self.change_link(e, change),
@@ -462,9 +462,9 @@
             }
         }
         let entry = &mut self.entries[e];
-        if let Some(wants) = entry.board.wants() {
+        if let Some(wants) = entry.board.waiting_work() {
             let now = at(self.now);
-            for link in entry.asking.due(now, wants.priority, &entry.links) {
+            for link in entry.asking.links_to_ask(now, wants.priority, &entry.links) {
                 entry.out.entry(link).or_default();
             }
         }
@@ -503,10 +503,10 @@
         let mut line = entry.out.remove(&link).unwrap_or_default();
         let (seen_ms, heard) = entry.seen.get(&link).copied().unwrap_or_default();
         line.seen_ms = seen_ms;
-        line.waiting = entry.board.wants();
+        line.waiting = entry.board.waiting_work();
         entry
             .asking
-            .said(link, line.waiting.map(|wants| wants.priority));
+            .message_sent(link, line.waiting.map(|wants| wants.priority));
         let there = |ms: u64| (ms + seen_ms).saturating_sub(heard / MS);
         for start in &mut line.starts {
             start.deadline_ms = there(start.deadline_ms);
@@ -562,7 +562,7 @@
         }
         let entry = &mut self.entries[e];
         entry.seen.insert(a as u64, (line.now_ms, self.now));
-        entry.board.heard(at(self.now), a as u64, line);
+        entry.board.handle_message(at(self.now), a as u64, line);
         if !line.lent.is_empty() {
             entry.out.entry(a as u64).or_default();
         }
@@ -578,8 +578,8 @@
                 continue;
             }
             let news = self.agents[a].slots.has_news(&self.names[e]);
-            let told =
-                self.load.claims == Claims::Everyone && self.entries[e].board.wants().is_some();
+            let told = self.load.claims == Claims::Everyone
+                && self.entries[e].board.waiting_work().is_some();
             if news || told {
                 self.agent_says(e, a);
             }
--- a/tests/besteffort_returns.rs
+++ b/tests/besteffort_returns.rs
@@ -229,7 +229,7 @@
     slots.listed(ms(START + 3), ms(START + 2), listing(SECOND, 9, &[]));
     assert!(!slots.backend().takes_work);
     let bounds = Bounds::default();
-    let over = (bounds.longest - bounds.lease).as_millis() as u64;
+    let over = (bounds.longest_lease - bounds.lease).as_millis() as u64;
     slots.listed(
         ms(START + over),
         ms(START + over),
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -208,17 +208,17 @@
         input: "input".into(),
         tasks: 1,
         need: Room { cpu, ..NEED },
-        declared: ms(100),
-        requires: None,
-        near: None,
-        per_worker: None,
-        attempts: 2,
+        declared_run_time: ms(100),
+        required_label: None,
+        near_label: None,
+        max_per_worker: None,
+        max_attempts: 2,
         priority: 0,
         stretch: 2.0,
         slack: ms(400),
         deadline: ms(START + 60_000),
-        short_by: Duration::ZERO,
-        first_run: 1,
+        wait_shortfall: Duration::ZERO,
+        first_run_number: 1,
     }
 }
 
@@ -232,7 +232,7 @@
         }),
         ..AgentMessage::default()
     };
-    board.heard(ms(at), 1, &line);
+    board.handle_message(ms(at), 1, &line);
 }
 
 /// A caller is told that its job fits nowhere, though its backend servers have only shrunk for a while.
--- a/tests/besteffort_sim/world/agents.rs
+++ b/tests/besteffort_sim/world/agents.rs
@@ -52,7 +52,8 @@
         }
         let now = self.clock(self.agents[a].process);
         let agent = &mut self.agents[a];
-        if self.now > agent.born + lease::Bounds::default().lapse().as_millis() as u64 {
+        if self.now > agent.born + lease::Bounds::default().lease_lapses_within().as_millis() as u64
+        {
             agent.clean = true;
         }
         agent.slots.tick(now);
--- a/tests/besteffort_sim/world/entries.rs
+++ b/tests/besteffort_sim/world/entries.rs
@@ -16,16 +16,16 @@
 impl World {
     pub(super) fn new_entry(&self, e: usize) -> Entry {
         let mut policy = Policy::default();
-        policy.subset.size = 1;
-        policy.subset.most_extra = AGENTS;
-        policy.subset.step = 1;
-        policy.subset.sought = 1;
-        policy.subset.linger = Duration::from_millis(500);
+        policy.subset.base_size = 1;
+        policy.subset.max_extra = AGENTS;
+        policy.subset.extra_at_once = 1;
+        policy.subset.links_for_job = 1;
+        policy.subset.unused_timeout = Duration::from_millis(500);
         let name = format!("entry-{e}");
         let mut board = Board::open(&name, "domain", self.guards.bounds(), policy);
         if self.faults.picks {
             let listed = (0..AGENTS).filter(|a| !self.unlisted.contains(&(e, *a)));
-            listed.for_each(|a| board.list(member(a)));
+            listed.for_each(|a| board.list_agent(member(a)));
         }
         Entry {
             process: Process::default(),
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn flush_entry(&mut self, e: usize, mut first: Vec<Action>) {
-        first.extend(self.entries[e].board.actions());
+        first.extend(self.entries[e].board.take_actions());
         let mut lines: BTreeMap<usize, EntryMessage> = BTreeMap::new();
         let of = |links: &BTreeMap<(usize, usize), Link>, number: u64| {
             let mut own = links.range((e, 0)..(e + 1, 0));
--- a/tests/besteffort_sim/world/faults.rs
+++ b/tests/besteffort_sim/world/faults.rs
@@ -315,7 +315,7 @@
             process.missed += long;
             let (now, missed) = (self.now + long, self.clock(self.entries[e].process));
             let woken = missed.max(ms(now));
-            self.entries[e].board.stood_still(woken);
+            self.entries[e].board.process_resumed(woken);
         }
     }
 
--- a/tests/besteffort_sim/world/links.rs
+++ b/tests/besteffort_sim/world/links.rs
@@ -60,7 +60,7 @@
         // A cut hangs the connect until it heals.
         if old.held.0.max(old.held.1) > self.now {
             let now = self.clock(self.entries[e].process);
-            self.entries[e].board.unreachable(now, &agent_name(a));
+            self.entries[e].board.agent_unreachable(now, &agent_name(a));
             self.at(old.held.0.max(old.held.1) + 20, Event::Connect(e, a));
             return;
         }
@@ -116,7 +116,7 @@
             return;
         }
         line.seen_ms = seen;
-        line.waiting = self.entries[e].board.wants();
+        line.waiting = self.entries[e].board.waiting_work();
         for start in &mut line.starts {
             start.deadline_ms = (start.deadline_ms + seen).saturating_sub(at);
             start.urgency_ms = (start.urgency_ms + seen).saturating_sub(at);
@@ -161,7 +161,7 @@
                 if let Some(hello) = &line.hello {
                     board.agent_up(now_entry, number, hello);
                 }
-                board.heard(now_entry, number, &line);
+                board.handle_message(now_entry, number, &line);
                 self.flush_entry(e, Vec::new());
             }
             _ => {}
@@ -228,10 +228,10 @@
 
     pub(super) fn relist(&mut self, e: usize, a: usize) {
         if self.unlisted.remove(&(e, a)) {
-            self.entries[e].board.list(member(a));
+            self.entries[e].board.list_agent(member(a));
         } else {
             self.unlisted.insert((e, a));
-            self.entries[e].board.unlist(&agent_name(a));
+            self.entries[e].board.unlist_agent(&agent_name(a));
         }
         self.flush_entry(e, Vec::new());
     }
@@ -269,7 +269,7 @@
     pub(super) fn read_crash(&mut self, e: usize, a: usize, life: u64, crash: &Crash) {
         let now = self.clock(self.entries[e].process);
         let board = &mut self.entries[e].board;
-        board.crash_elsewhere(now, &agent_name(a), life, crash);
+        board.crash_reported(now, &agent_name(a), life, crash);
         self.flush_entry(e, Vec::new());
     }
 }
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -349,7 +349,7 @@
 /// died in the meantime, on a slow clock, with the stop's grace.
 #[test]
 fn all_bounds_together_are_shorter_than_a_resubmission() {
-    assert!(Bounds::default().abandoned() < lease::RESUBMIT_AFTER);
+    assert!(Bounds::default().runs_end_within() < lease::RESUBMIT_AFTER);
 }
 
 /// A living worker gets no work for a second and a half: while its life is asked whether it is there,
@@ -385,10 +385,13 @@
 #[test]
 fn bounds_that_can_t_be_kept_are_refused() {
     let bounds = Bounds::default();
-    let with_longest = |longest| Bounds { longest, ..bounds };
+    let with_longest = |longest_lease| Bounds {
+        longest_lease,
+        ..bounds
+    };
     assert_eq!(bounds.check(None), Ok(()));
     assert_eq!(with_longest(ms(1_000)).check(Some(ms(1_300))), Ok(()));
-    let soon = bounds.check(Some(bounds.abandoned()));
+    let soon = bounds.check(Some(bounds.runs_end_within()));
     assert!(soon.is_err_and(|why| why.contains("run twice")));
     let short = with_longest(ms(649)).check(None);
     assert!(short.is_err_and(|why| why.contains("649 ms")));
--- a/tests/besteffort_subset.rs
+++ b/tests/besteffort_subset.rs
@@ -51,11 +51,11 @@
     let policy = Policy::default().subset;
     let mut subset = Subset::open(&format!("entry-{entry}"), &domain, policy);
     for n in 0..agents {
-        assert_eq!(subset.list(member(n)), None);
+        assert_eq!(subset.list_agent(member(n)), None);
     }
-    let opened = opened(&subset.review(ms(START), |_| false));
+    let opened = opened(&subset.review_links(ms(START), |_| false));
     for agent in &opened {
-        subset.up(agent);
+        subset.link_up(agent);
     }
     (subset, opened)
 }
@@ -63,7 +63,7 @@
 /// Guards against links that grow with the fleet: at twice the entries and agents a process has as many.
 #[test]
 fn links_of_a_process_do_not_grow_with_the_fleet() {
-    let size = Policy::default().subset.size;
+    let size = Policy::default().subset.base_size;
     for (entries, agents) in [(183, 800), (366, 1_600)] {
         let mut of_agent: BTreeMap<String, usize> = BTreeMap::new();
         for entry in 0..entries {
@@ -106,14 +106,14 @@
 fn an_agent_that_goes_moves_no_other() {
     let (mut subset, before) = base(3, 800);
     let gone = before.first().expect("some").clone();
-    assert_eq!(subset.unlist(&gone), None, "its link is up");
-    assert!(subset.review(ms(START + 500), |_| false).is_empty());
-    subset.down(ms(START + 500), &gone);
+    assert_eq!(subset.unlist_agent(&gone), None, "its link is up");
+    assert!(subset.review_links(ms(START + 500), |_| false).is_empty());
+    subset.link_down(ms(START + 500), &gone);
     assert_eq!(
-        subset.unlist(&gone),
+        subset.unlist_agent(&gone),
         Some(LinkChange::Close(gone.as_str().into()))
     );
-    let changes = subset.review(ms(START + 1_000), |_| false);
+    let changes = subset.review_links(ms(START + 1_000), |_| false);
     assert_eq!(
         opened(&changes).len(),
         1,
@@ -127,15 +127,15 @@
 fn others_stand_in_for_agents_that_are_missing() {
     let (mut subset, base) = base(3, 800);
     for agent in base.iter().take(20) {
-        subset.down(ms(START), agent);
+        subset.link_down(ms(START), agent);
     }
-    assert!(subset.review(ms(START + 500), |_| false).is_empty());
-    let changes = subset.review(ms(START + 1_000), |_| false);
+    assert!(subset.review_links(ms(START + 500), |_| false).is_empty());
+    let changes = subset.review_links(ms(START + 1_000), |_| false);
     assert_eq!(opened(&changes).len(), 20);
     for agent in opened(&changes).iter().chain(&base) {
-        subset.down(ms(START + 1_000), agent);
+        subset.link_down(ms(START + 1_000), agent);
     }
-    let changes = subset.review(ms(START + 3_000), |_| false);
+    let changes = subset.review_links(ms(START + 3_000), |_| false);
     assert_eq!(
         opened(&changes).len(),
         12,
@@ -147,18 +147,18 @@
 #[test]
 fn links_beyond_the_base_are_closed_when_unused() {
     let (mut subset, _) = base(3, 800);
-    let (opening, changes) = subset.reach_out(ms(START), 8, |_| true);
+    let (opening, changes) = subset.open_extra_links(ms(START), 8, |_| true);
     assert_eq!((opening.len(), changes.len()), (8, 8));
     for agent in &opening {
-        subset.up(agent);
+        subset.link_up(agent);
     }
     let used = opening[0].clone();
     let late = START + 2_500;
-    let changes = subset.review(ms(late), |agent| *agent == used);
+    let changes = subset.review_links(ms(late), |agent| *agent == used);
     assert_eq!(changes.len(), 7, "{changes:?}");
     let unused = |change: &LinkChange| matches!(change, LinkChange::Close(agent) if *agent != used);
     assert!(changes.iter().all(unused), "{changes:?}");
-    let changes = subset.review(ms(late + 2_500), |_| false);
+    let changes = subset.review_links(ms(late + 2_500), |_| false);
     assert_eq!(changes, [LinkChange::Close(used)]);
 }
 
@@ -174,17 +174,17 @@
             memory_mb: 10,
             accelerators: 0,
         },
-        declared: ms(100),
-        requires: None,
-        near: None,
-        per_worker: None,
-        attempts: 2,
+        declared_run_time: ms(100),
+        required_label: None,
+        near_label: None,
+        max_per_worker: None,
+        max_attempts: 2,
         priority: 0,
         stretch: 1.6,
         slack: ms(60),
         deadline: ms(START + 5_000),
-        short_by: Duration::ZERO,
-        first_run: 1,
+        wait_shortfall: Duration::ZERO,
+        first_run_number: 1,
     }
 }
 
@@ -199,7 +199,7 @@
     fn open() -> Linked {
         let mut board = Board::open("entry-3", "domain-3", Bounds::default(), Policy::default());
         for n in 0..800 {
-            board.list(member(n));
+            board.list_agent(member(n));
         }
         board.tick(ms(START - 50));
         let mut linked = Linked {
@@ -215,7 +215,7 @@
     fn carry_out(&mut self, at: u64, places: i64) -> Vec<u64> {
         let mut starts = Vec::new();
         loop {
-            let actions = self.board.actions();
+            let actions = self.board.take_actions();
             if actions.is_empty() {
                 return starts;
             }
@@ -259,7 +259,7 @@
             }),
             ..AgentMessage::default()
         };
-        self.board.heard(ms(at), self.links, &line);
+        self.board.handle_message(ms(at), self.links, &line);
     }
 }
 
@@ -279,9 +279,9 @@
         let label = format!("rack-{rack}");
         let mut ask = ask("job", 4);
         if needs_rack {
-            ask.requires = Some(label.as_str().into());
+            ask.required_label = Some(label.as_str().into());
         } else {
-            ask.near = Some(label.as_str().into());
+            ask.near_label = Some(label.as_str().into());
         }
         let before = linked.links;
         let admitted = linked.board.submit(ms(START), ask);
@@ -299,7 +299,7 @@
 fn what_no_agent_has_is_refused_at_once() {
     let mut linked = Linked::open();
     let mut labelled = ask("labelled", 1);
-    labelled.requires = Some("nowhere".into());
+    labelled.required_label = Some("nowhere".into());
     let mut large = ask("large", 1);
     large.need.cpu = 9_000;
     for ask in [labelled, large] {
--- a/tests/formats_platform.rs
+++ b/tests/formats_platform.rs
@@ -190,10 +190,10 @@
     assert_eq!(job.tasks, 5);
     let need = &job.need;
     assert_eq!((need.cpu, need.memory_mb, need.accelerators), (1500, 96, 2));
-    assert_eq!(job.declared, Duration::from_millis(74));
-    assert_eq!(job.requires.as_deref(), Some("gpu-a"));
-    assert_eq!(job.near.as_deref(), Some("r1-1"));
-    assert_eq!(job.per_worker, Some(3));
+    assert_eq!(job.declared_run_time, Duration::from_millis(74));
+    assert_eq!(job.required_label.as_deref(), Some("gpu-a"));
+    assert_eq!(job.near_label.as_deref(), Some("r1-1"));
+    assert_eq!(job.max_per_worker, Some(3));
     for case in lines("platform_job_refused.jsonl") {
         let mut job = example.clone();
         let (owner, field) = case["field"].as_str().unwrap().rsplit_once('/').unwrap();
