--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -16,6 +16,7 @@
 use compact_str::CompactString;
 
 use crate::decide::besteffort::crashes::Crashes;
+use crate::decide::besteffort::earlier_wait::EarlierWaits;
 use crate::decide::besteffort::flow::Flow;
 use crate::decide::besteffort::job::{
     Job, JobNo, LinkNo, NotRunReason, Outcome, QueueKey, Submission,
@@ -23,7 +24,6 @@
 use crate::decide::besteffort::learn::RunTimes;
 use crate::decide::besteffort::lease::Bounds;
 use crate::decide::besteffort::message::{JobId, Run, Start, WaitingWork};
-use crate::decide::besteffort::patience::EarlierWaits;
 use crate::decide::besteffort::policy::Policy;
 use crate::decide::besteffort::subset::{LinkChange, Subset};
 use crate::decide::besteffort::view::AgentView;
--- a/src/decide/besteffort/job.rs
+++ b/src/decide/besteffort/job.rs
@@ -56,7 +56,7 @@
     /// When its caller stops waiting.
     pub deadline: time::Duration,
     /// By how much its caller's wait falls short of what callers of the class wait; see
-    /// [`patience`](crate::decide::besteffort::patience).
+    /// [`earlier_wait`](crate::decide::besteffort::earlier_wait).
     pub wait_shortfall: time::Duration,
     /// Larger than the number of any run that an earlier submission of this job may have had.
     pub first_run_number: RunNumber,
