--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -21,7 +21,7 @@
 
 /// Most links at a time. An agent has some ten; where many entries know few agents, as in the first second of a large
 /// fleet, the others turn to the next agents of their order.
-pub const MOST_LINKS: usize = 128;
+pub const MAX_LINKS: usize = 128;
 
 /// Part of a heartbeat after which a line of the entry is answered by one of the agent, where nothing
 /// left meanwhile: the heartbeats of an entry call for those of its agents.
@@ -102,7 +102,7 @@
             return None;
         }
         old.close.notify_one();
-    } else if links.len() >= MOST_LINKS {
+    } else if links.len() >= MAX_LINKS {
         return None;
     }
     let link = Link {
@@ -127,9 +127,9 @@
         ));
     };
     log::info!(entry = name.entry.as_str(), life = name.incarnation; "link to an entry is up");
-    let mut hello = mutex::lock(&inner.slots).entry_up(clock::since_boot(), &name);
+    let mut hello = mutex::lock(&inner.slots).entry_connected(clock::since_boot(), &name);
     hello.agent = inner.cfg.name.clone();
-    hello.incarnation = inner.cfg.life;
+    hello.incarnation = inner.cfg.incarnation;
     hello.failure_domain = inner.cfg.failure_domain.clone();
     let mut talk = Talk {
         inner: inner.clone(),
@@ -181,16 +181,16 @@
             let mut slots = mutex::lock(&self.inner.slots);
             let changed = line
                 .evacuation
-                .is_some_and(|word| slots.evacuation(now, word));
-            let fresh = slots.heard(now, &self.name, line.seen_ms);
+                .is_some_and(|word| slots.update_evacuation(now, word));
+            let fresh = slots.message_received(now, &self.name, line.seen_ms);
             for run in &line.stops {
                 slots.withdraw(now, &self.name, run);
             }
             for start in line.starts {
                 self.taken += 1;
-                slots.start(now, &self.name, fresh, start);
+                slots.start_requested(now, &self.name, fresh, start);
             }
-            slots.waits(now, &self.name, line.seen_ms, line.waiting);
+            slots.update_wants(now, &self.name, line.seen_ms, line.waiting);
             changed
         };
         flush(&self.inner);
@@ -203,9 +203,9 @@
 
     fn line(&mut self) -> AgentMessage {
         let mut slots = mutex::lock(&self.inner.slots);
-        let mut line = slots.line(&self.name, clock::since_boot());
+        let mut line = slots.next_message(&self.name, clock::since_boot());
         line.starts_read = self.taken;
-        let backend = slots.backend();
+        let backend = slots.advertised_backend();
         if backend != self.told {
             self.told = backend.clone();
             line.backend = Some(backend);
--- a/src/besteffort/agent/mod.rs
+++ b/src/besteffort/agent/mod.rs
@@ -21,7 +21,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::besteffort::agent::link::accept;
-pub use crate::besteffort::agent::link::MOST_LINKS;
+pub use crate::besteffort::agent::link::MAX_LINKS;
 use crate::besteffort::agent::server::{check_life, flush, tick, watch};
 use crate::clock;
 use crate::decide::besteffort::lease::{self, Bounds};
@@ -43,11 +43,11 @@
 
 /// Why a listing brought nothing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NoListing {
+pub enum ListingError {
     /// No answer; nobody can tell what the backend server did.
-    Silent,
+    NoAnswer,
     /// Another life of the backend server answered: what was started before has ended.
-    AnotherLife,
+    AnotherIncarnation,
     /// Nothing listens there: the backend server has ended.
     Refused,
 }
@@ -60,7 +60,7 @@
     /// Stops a run, or makes sure that it never begins; true once that is certain.
     pub stop: Box<dyn Fn(Recipient, Run) -> Answer<bool> + Send + Sync>,
     /// Lists what it has.
-    pub list: Box<dyn Fn(ListCall) -> Answer<Result<Listing, NoListing>> + Send + Sync>,
+    pub list: Box<dyn Fn(ListCall) -> Answer<Result<Listing, ListingError>> + Send + Sync>,
 }
 
 /// What is asked with a listing.
@@ -69,7 +69,7 @@
     /// Whom it is meant for.
     pub to: Recipient,
     /// The end of the lease to renew, on the backend server's clock.
-    pub until: Option<u64>,
+    pub lease_until_ms: Option<u64>,
     /// The last end that needn't be listed any more.
     pub acknowledged: u64,
     /// How long to wait for an end.
@@ -82,11 +82,11 @@
     /// Its name.
     pub name: id::AgentId,
     /// Which life of it.
-    pub life: id::Incarnation,
+    pub incarnation: id::Incarnation,
     /// Its failure domain.
     pub failure_domain: CompactString,
     /// Where entries connect.
-    pub links: SocketAddr,
+    pub link_addr: SocketAddr,
     /// The time bounds that it keeps.
     pub bounds: Bounds,
 }
@@ -99,9 +99,9 @@
     /// Room that nobody uses or waits for.
     pub free: Room,
     /// Entries that are linked.
-    pub linked: usize,
+    pub linked_entries: usize,
     /// How long ago the backend server answered; none if it never did.
-    pub heard_ago: Option<time::Duration>,
+    pub last_answer_age: Option<time::Duration>,
     /// Whether it takes new work.
     pub takes_work: bool,
     /// Counts since the start.
@@ -144,7 +144,7 @@
 ///
 /// Returns what the system says where the address can't be bound.
 pub async fn bind(cfg: Config, server: BackendServer) -> io::Result<Agent> {
-    let listener = TcpListener::bind(cfg.links).await?;
+    let listener = TcpListener::bind(cfg.link_addr).await?;
     let addr = listener.local_addr()?;
     let inner = Arc::new(Inner {
         slots: Mutex::new(Slots::open(cfg.bounds)),
@@ -168,8 +168,9 @@
     }
 
     /// The backend server has announced itself.
-    pub fn announced(&self, heartbeat: Heartbeat) {
-        let check = mutex::lock(&self.inner.slots).announced(clock::since_boot(), heartbeat);
+    pub fn heartbeat_received(&self, heartbeat: Heartbeat) {
+        let check =
+            mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
         if let Some(check) = check {
             tokio::spawn(check_life(self.inner.clone(), check));
         }
@@ -178,43 +179,44 @@
     }
 
     /// The life of the backend server that is known; with an empty id before any.
-    pub fn life(&self) -> ServerIncarnation {
-        mutex::lock(&self.inner.slots).life().clone()
+    pub fn server_incarnation(&self) -> ServerIncarnation {
+        mutex::lock(&self.inner.slots).server_incarnation().clone()
     }
 
     /// The backend server as it last announced itself.
     pub fn backend(&self) -> Backend {
-        mutex::lock(&self.inner.slots).known().clone()
+        mutex::lock(&self.inner.slots).announced_backend().clone()
     }
 
     /// The backend server as an earlier life of the agent knew it. Its own word, which may take a
     /// heartbeat, goes first.
-    pub async fn remembered(&self, backend: Backend) {
-        if !self.life().id.is_empty() {
+    pub async fn restore_backend(&self, backend: Backend) {
+        if !self.server_incarnation().id.is_empty() {
             return;
         }
         let life = backend.incarnation.clone();
         // Whatever it has said since goes first.
         let heartbeat = Heartbeat { backend, number: 0 };
-        let check = mutex::lock(&self.inner.slots).announced(clock::since_boot(), heartbeat);
+        let check =
+            mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
         if let Some(check) = check {
             check_life(self.inner.clone(), check).await;
         }
-        let there = self.life() == life;
+        let there = self.server_incarnation() == life;
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, there = there;
             "backend server is remembered");
     }
 
     /// A life of the backend server has left.
-    pub fn left(&self, life: &ServerIncarnation) {
-        mutex::lock(&self.inner.slots).left(clock::since_boot(), life);
+    pub fn server_left(&self, life: &ServerIncarnation) {
+        mutex::lock(&self.inner.slots).server_left(clock::since_boot(), life);
         flush(&self.inner);
         tell_all(&self.inner);
     }
 
     /// Which life of the agent this is.
     pub fn incarnation(&self) -> id::Incarnation {
-        self.inner.cfg.life
+        self.inner.cfg.incarnation
     }
 
     /// The crashes of its backend servers that are remembered.
@@ -224,7 +226,7 @@
 
     /// Takes no new work, lets what runs end, `longest` at most, and ends the rest.
     pub async fn stop(&self, longest: time::Duration) {
-        mutex::lock(&self.inner.slots).stop(clock::since_boot());
+        mutex::lock(&self.inner.slots).stop_accepting(clock::since_boot());
         flush(&self.inner);
         tell_all(&self.inner);
         let idle = async {
@@ -234,7 +236,7 @@
         };
         if timeout(longest, idle).await.is_err() {
             log::warn!("stopping with runs left; they are ended");
-            mutex::lock(&self.inner.slots).stop_all(clock::since_boot());
+            mutex::lock(&self.inner.slots).end_all_runs(clock::since_boot());
             flush(&self.inner);
             sleep(2 * lease::MAX_STOP_TIME).await;
         }
@@ -245,14 +247,14 @@
     /// What it has and did, for the metrics page.
     pub fn status(&self) -> Status {
         let now = clock::since_boot();
-        let linked = mutex::lock(&self.inner.links).len();
+        let linked_entries = mutex::lock(&self.inner.links).len();
         let slots = mutex::lock(&self.inner.slots);
         Status {
             working: slots.is_working(),
             free: slots.free(),
-            linked,
-            heard_ago: slots.heard_ago(now),
-            takes_work: slots.backend().takes_work,
+            linked_entries,
+            last_answer_age: slots.last_answer_age(now),
+            takes_work: slots.advertised_backend().takes_work,
             counts: slots.counts.clone(),
         }
     }
@@ -261,7 +263,7 @@
 fn tell_news(inner: &Inner) {
     let slots = mutex::lock(&inner.slots);
     for (name, link) in mutex::lock(&inner.links).iter() {
-        if slots.has_news(name) {
+        if slots.has_unsent(name) {
             link.news.notify_one();
         }
     }
--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -7,11 +7,11 @@
 use tokio::time::{sleep, timeout};
 
 use crate::besteffort::agent::{
-    tell_all, tell_news, Answer, Inner, ListCall, NoListing, LISTING_SLACK, TICK,
+    tell_all, tell_news, Answer, Inner, ListCall, ListingError, LISTING_SLACK, TICK,
 };
 use crate::clock;
 use crate::decide::besteffort::message::Run;
-use crate::decide::besteffort::slots::{Check, Checked, Order, StartAnswer};
+use crate::decide::besteffort::slots::{Check, CheckResult, Order, StartAnswer};
 use crate::mutex;
 
 /// The same while nothing is held.
@@ -112,17 +112,18 @@
     let sent = clock::since_boot();
     let call = (inner.server.list)(ListCall {
         to: check.to.clone(),
-        until: None,
+        lease_until_ms: None,
         acknowledged: 0,
         wait: time::Duration::ZERO,
     });
     let checked = match timeout(LISTING_SLACK, call).await {
-        Ok(Ok(listing)) => Checked::There(listing),
-        Ok(Err(NoListing::AnotherLife)) => Checked::AnotherLife,
-        Ok(Err(NoListing::Silent | NoListing::Refused)) | Err(_) => Checked::Silent,
+        Ok(Ok(listing)) => CheckResult::Answered(listing),
+        Ok(Err(ListingError::AnotherIncarnation)) => CheckResult::AnotherIncarnation,
+        Ok(Err(ListingError::NoAnswer | ListingError::Refused)) | Err(_) => CheckResult::NoAnswer,
     };
-    let is_idle = matches!(&checked, Checked::There(listing) if listing.running.is_empty());
-    let known = mutex::lock(&inner.slots).checked(clock::since_boot(), sent, &check, checked);
+    let is_idle = matches!(&checked, CheckResult::Answered(listing) if listing.running.is_empty());
+    let known =
+        mutex::lock(&inner.slots).check_answered(clock::since_boot(), sent, &check, checked);
     if !known {
         return;
     }
@@ -142,8 +143,8 @@
         let clean = inner.clean.load(Ordering::Relaxed);
         ListCall {
             to: slots.recipient(),
-            until: clean.then(|| slots.renew(sent)).flatten(),
-            acknowledged: slots.acknowledged(),
+            lease_until_ms: clean.then(|| slots.renew_lease(sent)).flatten(),
+            acknowledged: slots.acknowledged_end(),
             wait,
         }
     };
@@ -158,15 +159,15 @@
     }
     let listed = match answer {
         Ok(Ok(listed)) => listed,
-        Ok(Err(NoListing::AnotherLife)) => {
-            mutex::lock(&inner.slots).another_life(now);
+        Ok(Err(ListingError::AnotherIncarnation)) => {
+            mutex::lock(&inner.slots).another_incarnation_answered(now);
             return None;
         }
-        Ok(Err(NoListing::Refused)) => {
+        Ok(Err(ListingError::Refused)) => {
             let took_work = {
                 let mut slots = mutex::lock(&inner.slots);
-                let before = slots.backend().takes_work;
-                slots.refused(now, &asked);
+                let before = slots.advertised_backend().takes_work;
+                slots.connection_refused(now, &asked);
                 before
             };
             flush(inner);
@@ -175,7 +176,7 @@
             }
             return None;
         }
-        Ok(Err(NoListing::Silent)) | Err(_) => return None,
+        Ok(Err(ListingError::NoAnswer)) | Err(_) => return None,
     };
     if listed.running.is_empty() {
         inner.clean.store(true, Ordering::Relaxed);
@@ -183,9 +184,9 @@
     let ends = listed.ended.len();
     let changed = {
         let mut slots = mutex::lock(&inner.slots);
-        let before = slots.backend();
-        slots.listed(now, sent, listed);
-        slots.backend() != before
+        let before = slots.advertised_backend();
+        slots.listing_received(now, sent, listed);
+        slots.advertised_backend() != before
     };
     flush(inner);
     if changed {
@@ -198,7 +199,7 @@
 
 /// Carries out what the slots ask for.
 pub(super) fn flush(inner: &Arc<Inner>) {
-    let orders = mutex::lock(&inner.slots).orders();
+    let orders = mutex::lock(&inner.slots).take_orders();
     for order in orders {
         let inner = inner.clone();
         match order {
@@ -206,9 +207,9 @@
                 to,
                 run,
                 input,
-                until,
+                lease_until_ms,
             } => {
-                let answer = (inner.server.start)(to, run.clone(), input, until);
+                let answer = (inner.server.start)(to, run.clone(), input, lease_until_ms);
                 tokio::spawn(start(inner, run, answer));
             }
             Order::Stop { to, run } => {
@@ -221,7 +222,7 @@
 
 async fn start(inner: Arc<Inner>, run: Run, answer: Answer<StartAnswer>) {
     let answer = answer.await;
-    mutex::lock(&inner.slots).answered(clock::since_boot(), &run, answer);
+    mutex::lock(&inner.slots).start_answered(clock::since_boot(), &run, answer);
     inner.work.notify_one();
     flush(&inner);
     tell_news(&inner);
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -99,12 +99,12 @@
 
 impl Entry {
     /// An agent is listed, or is listed with other words than before.
-    pub fn list(&self, member: ListedAgent) {
+    pub fn agent_listed(&self, member: ListedAgent) {
         mutex::lock(&self.inner.board).list_agent(member);
     }
 
     /// An agent isn't listed any more.
-    pub fn unlist(&self, agent: &str) {
+    pub fn agent_unlisted(&self, agent: &str) {
         mutex::lock(&self.inner.board).unlist_agent(agent);
     }
 
@@ -148,12 +148,12 @@
     }
 
     /// Whether a job is known and hasn't ended.
-    pub fn knows(&self, job: &str) -> bool {
+    pub fn has_open_job(&self, job: &str) -> bool {
         mutex::lock(&self.inner.board).find_job(job).is_some()
     }
 
     /// Jobs of a class of which nothing was started.
-    pub fn pending(&self, class: &str) -> usize {
+    pub fn unstarted_jobs(&self, class: &str) -> usize {
         mutex::lock(&self.inner.board).unstarted_jobs(class)
     }
 
@@ -168,13 +168,13 @@
     }
 
     /// Gives up and answers whatever hasn't ended.
-    pub fn give_up(&self) {
+    pub fn give_up_all(&self) {
         mutex::lock(&self.inner.board).give_up_all(clock::since_boot());
         carry_out(&self.inner);
     }
 
     /// Says which failure domains operators have evacuated. Agents hear of a change at once.
-    pub fn evacuated(&self, reading: &StoreReading) {
+    pub fn update_evacuations(&self, reading: &StoreReading) {
         let mut evacuations = mutex::lock(&self.inner.evacuations);
         if !evacuations.update(reading) {
             return;
@@ -204,7 +204,8 @@
 
     /// Whether agents are linked, and none is expected any more after the start.
     pub fn is_settled(&self) -> bool {
-        self.agents() > 0 && mutex::lock(&self.inner.board).has_found_agents(clock::since_boot())
+        self.linked_agents() > 0
+            && mutex::lock(&self.inner.board).has_found_agents(clock::since_boot())
     }
 
     /// Agents that are wanted and have been out of reach for so long.
@@ -213,7 +214,7 @@
     }
 
     /// Agents that are linked.
-    pub fn agents(&self) -> usize {
+    pub fn linked_agents(&self) -> usize {
         mutex::lock(&self.inner.links).len()
     }
 }
--- a/src/decide/besteffort/slots/counts.rs
+++ b/src/decide/besteffort/slots/counts.rs
@@ -6,19 +6,19 @@
 
 /// Words of the backend server that are passed over since a newer one is known.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum PassedOver {
+pub enum StaleMessage {
     /// What it says of itself.
     Heartbeat,
     /// What it says that it has.
     Listing,
 }
 
-impl PassedOver {
+impl StaleMessage {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            PassedOver::Heartbeat => "heartbeat",
-            PassedOver::Listing => "listing",
+            StaleMessage::Heartbeat => "heartbeat",
+            StaleMessage::Listing => "listing",
         }
     }
 }
@@ -27,18 +27,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// From a run's start, or its arrival if it never began, to its end; by how it ended.
-    pub ended: metrics::Seconds,
+    pub run_seconds: metrics::Seconds,
     /// Starts by what came of them.
     pub starts: BTreeMap<&'static str, u64>,
     /// Stops sent, repeated ones included.
     pub stops: u64,
     /// Times that the lease ran out, or the backend server crashed, under runs; by which it was.
-    pub lost: BTreeMap<&'static str, u64>,
+    pub leases_lost: BTreeMap<&'static str, u64>,
     /// Crashes of the backend server under runs that may have caused them.
     pub crashes: u64,
     /// Lives of the backend server that were taken up.
-    pub lives: u64,
+    pub incarnations: u64,
     /// Words of it that came too late to tell anything. Some are overtaken now and then; many on end tell
     /// of a backend server that isn't believed.
-    pub passed_over: BTreeMap<PassedOver, u64>,
+    pub stale_messages: BTreeMap<StaleMessage, u64>,
 }
--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -58,13 +58,13 @@
     }
 
     /// Sets how suspects are kept from other work.
-    pub fn isolate(&mut self, isolation: Isolation) {
+    pub fn set_isolation(&mut self, isolation: Isolation) {
         self.isolation = isolation;
     }
 
     /// Nothing listens where a life of the backend server was asked.
-    pub fn refused(&mut self, now: time::Duration, to: &Recipient) {
-        if *to != self.recipient() || to.life.id.is_empty() {
+    pub fn connection_refused(&mut self, now: time::Duration, to: &Recipient) {
+        if *to != self.recipient() || to.incarnation.id.is_empty() {
             return;
         }
         self.reach(now, false);
@@ -155,14 +155,14 @@
     /// Whether the crash of the known life was told already; what is found later only adds to it.
     fn is_blamed(&self) -> bool {
         let mut known = self.crashes.known.iter().map(|(_, crash)| crash);
-        let of_this_life = known.find(|crash| crash.server == self.counts.lives);
+        let of_this_life = known.find(|crash| crash.server == self.counts.incarnations);
         of_this_life.is_some_and(|crash| crash.suspects().next().is_some())
     }
 
     /// Tells all entries whom the crash of the known life is blamed on.
     fn blame(&mut self, now: time::Duration, crash: Crash) {
         let crash = Crash {
-            server: self.counts.lives,
+            server: self.counts.incarnations,
             ..crash
         };
         let known = &mut self.crashes.known;
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -11,7 +11,7 @@
 
 impl Slots {
     /// An entry has connected; returns what it should know first.
-    pub fn entry_up(&mut self, now: time::Duration, name: &EntryIncarnation) -> Hello {
+    pub fn entry_connected(&mut self, now: time::Duration, name: &EntryIncarnation) -> Hello {
         let entry = self.entries.entry(name.clone()).or_default();
         entry.ended.clear();
         entry.wants = None;
@@ -31,7 +31,12 @@
     }
 
     /// An entry has repeated our clock. Whether the word is fresh enough to act on.
-    pub fn heard(&mut self, now: time::Duration, name: &EntryIncarnation, seen_ms: u64) -> bool {
+    pub fn message_received(
+        &mut self,
+        now: time::Duration,
+        name: &EntryIncarnation,
+        seen_ms: u64,
+    ) -> bool {
         let until = millis(seen_ms) + self.bounds.silence;
         if let Some(entry) = self.entries.get_mut(name) {
             entry.alive_until = entry.alive_until.max(until);
@@ -41,7 +46,7 @@
     }
 
     /// An entry wants a run.
-    pub fn start(
+    pub fn start_requested(
         &mut self,
         now: time::Duration,
         name: &EntryIncarnation,
@@ -85,7 +90,7 @@
     }
 
     /// What an entry should hear now: ends, and the progress of its runs.
-    pub fn line(&mut self, name: &EntryIncarnation, now: time::Duration) -> AgentMessage {
+    pub fn next_message(&mut self, name: &EntryIncarnation, now: time::Duration) -> AgentMessage {
         let now_ms = now.as_millis() as u64;
         let mut line = AgentMessage {
             now_ms,
@@ -122,7 +127,7 @@
     }
 
     /// Whether an entry has something to hear before the next heartbeat.
-    pub fn has_news(&self, name: &EntryIncarnation) -> bool {
+    pub fn has_unsent(&self, name: &EntryIncarnation) -> bool {
         let entry = self.entries.get(name);
         let untold = |e: &Entry| e.loan.is_some_and(|loan| loan.told_ms.is_none());
         entry.is_some_and(|e| !e.ended.is_empty() || !e.crashes.is_empty() || untold(e))
--- a/src/decide/besteffort/slots/lend.rs
+++ b/src/decide/besteffort/slots/lend.rs
@@ -28,7 +28,7 @@
 impl Slots {
     /// Takes in what waits at an entry. A line that answers a loan gives back what the starts in it
     /// haven't used.
-    pub fn waits(
+    pub fn update_wants(
         &mut self,
         now: time::Duration,
         name: &EntryIncarnation,
--- a/src/decide/besteffort/slots/lives.rs
+++ b/src/decide/besteffort/slots/lives.rs
@@ -16,7 +16,7 @@
 use crate::decide::besteffort::lease::Lease;
 use crate::decide::besteffort::message::{Backend, Heartbeat, Run, RunOutcome, ServerIncarnation};
 use crate::decide::besteffort::slots::{
-    Listing, PassedOver, Recipient, Slots, State, ANOTHER_LIFE,
+    Listing, Recipient, Slots, StaleMessage, State, ANOTHER_LIFE,
 };
 
 /// Most lives that are checked at a time. A word of a dead life or of another writer must not push out
@@ -48,19 +48,23 @@
 
 /// What came of a check.
 #[derive(Clone, Debug)]
-pub enum Checked {
+pub enum CheckResult {
     /// The life that was asked for has answered.
-    There(Listing),
+    Answered(Listing),
     /// Another life has answered: the one that was asked for is dead.
-    AnotherLife,
+    AnotherIncarnation,
     /// No answer; the next word of the life is checked again.
-    Silent,
+    NoAnswer,
 }
 
 impl Slots {
     /// Takes in what the backend server says of itself. A life that isn't known has to be checked
     /// first; a life that is known to be dead is passed over.
-    pub fn announced(&mut self, now: time::Duration, heartbeat: Heartbeat) -> Option<Check> {
+    pub fn heartbeat_received(
+        &mut self,
+        now: time::Duration,
+        heartbeat: Heartbeat,
+    ) -> Option<Check> {
         if self.past.contains(&heartbeat.backend.incarnation) {
             self.late_heartbeat(&heartbeat);
             return None;
@@ -71,8 +75,12 @@
         }
         self.checks += 1;
         let check = self.checks;
-        let life = heartbeat.backend.incarnation.clone();
-        match self.candidates.iter_mut().find(|c| *c.life() == life) {
+        let incarnation = heartbeat.backend.incarnation.clone();
+        match self
+            .candidates
+            .iter_mut()
+            .find(|c| *c.life() == incarnation)
+        {
             Some(known) if heartbeat.number < known.newest.number => {
                 self.late_heartbeat(&heartbeat);
                 return None;
@@ -95,8 +103,8 @@
             }
         }
         let to = Recipient {
-            life,
-            fence: self.counts.lives,
+            incarnation,
+            fence: self.counts.incarnations,
         };
         Some(Check { number: check, to })
     }
@@ -119,43 +127,43 @@
         let life = &heartbeat.backend.incarnation;
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, seq = heartbeat.number,
             takes_work = heartbeat.backend.takes_work; "heartbeat is older than one heard");
-        self.passed_over(PassedOver::Heartbeat);
+        self.count_stale(StaleMessage::Heartbeat);
     }
 
     /// Takes in what came of a check that was sent at `sent`. Returns whether the life is known from
     /// now on.
-    pub fn checked(
+    pub fn check_answered(
         &mut self,
         now: time::Duration,
         sent: time::Duration,
         check: &Check,
-        checked: Checked,
+        checked: CheckResult,
     ) -> bool {
         let current = |candidate: &Candidate| candidate.check == Some(check.number);
         let Some(at) = self.candidates.iter().position(current) else {
             return false;
         };
-        let life = &check.to.life;
+        let life = &check.to.incarnation;
         match checked {
-            Checked::There(listing) if is_of(&listing, life) => {
+            CheckResult::Answered(listing) if is_of(&listing, life) => {
                 let Some(candidate) = self.candidates.remove(at) else {
                     return false;
                 };
                 let keeps_id = life.id == self.backend.incarnation.id;
                 self.take_up(now, candidate.newest);
                 if !keeps_id {
-                    self.listed(now, sent, listing);
+                    self.listing_received(now, sent, listing);
                 }
                 true
             }
-            Checked::There(_) | Checked::AnotherLife => {
+            CheckResult::Answered(_) | CheckResult::AnotherIncarnation => {
                 log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
                     known = self.backend.incarnation.id.as_str(); "late word of a dead life");
                 self.candidates.remove(at);
                 self.past.insert(life.clone());
                 false
             }
-            Checked::Silent => {
+            CheckResult::NoAnswer => {
                 log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
                     known = self.backend.incarnation.id.as_str(); "life of the backend server can't be checked");
                 self.candidates[at].check = None;
@@ -199,7 +207,7 @@
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
             before = self.backend.incarnation.id.as_str(), held = self.held.len(); "backend server has a new life");
         self.life_ended(now);
-        self.counts.lives += 1;
+        self.counts.incarnations += 1;
         // What is known of the clock and the lease is of the life before.
         if life.id == self.backend.incarnation.id {
             self.lease = self.lease.next_incarnation();
@@ -270,7 +278,7 @@
     /// The backend server says that it leaves now. What it has may run on for a moment, so that its
     /// ends are still waited for. Where it doesn't say when its life began, this may be the late word of an
     /// earlier life under the same id: the next heartbeat of the living one sets that right.
-    pub fn left(&mut self, now: time::Duration, life: &ServerIncarnation) {
+    pub fn server_left(&mut self, now: time::Duration, life: &ServerIncarnation) {
         let is_meant = |known: &ServerIncarnation| {
             known.id == life.id && (life.born_ms.is_none() || known.born_ms == life.born_ms)
         };
@@ -285,7 +293,7 @@
     }
 
     /// Another life of the backend server has answered; nothing of the one that is known runs.
-    pub fn another_life(&mut self, now: time::Duration) {
+    pub fn another_incarnation_answered(&mut self, now: time::Duration) {
         self.lost(now, ANOTHER_LIFE);
     }
 }
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -23,10 +23,10 @@
     Backend, Crash, EntryIncarnation, Room, Run, RunEnd, RunOutcome, ServerIncarnation, WaitingWork,
 };
 
-pub use counts::{Counts, PassedOver};
+pub use counts::{Counts, StaleMessage};
 pub use crashes::Isolation;
 use held::{Held, State};
-pub use lives::{Check, Checked};
+pub use lives::{Check, CheckResult};
 pub use order::{Listing, Order, Recipient, StartAnswer};
 
 /// Why runs are lost, in logs and metrics.
@@ -138,20 +138,20 @@
     }
 
     /// The life of the backend server that is known.
-    pub fn life(&self) -> &ServerIncarnation {
+    pub fn server_incarnation(&self) -> &ServerIncarnation {
         &self.backend.incarnation
     }
 
     /// Whom orders are meant for that are decided now.
     pub fn recipient(&self) -> Recipient {
         Recipient {
-            life: self.backend.incarnation.clone(),
-            fence: self.counts.lives,
+            incarnation: self.backend.incarnation.clone(),
+            fence: self.counts.incarnations,
         }
     }
 
     /// The backend server as entries should see it.
-    pub fn backend(&self) -> Backend {
+    pub fn advertised_backend(&self) -> Backend {
         Backend {
             takes_work: self.takes_work(),
             ..self.backend.clone()
@@ -163,7 +163,7 @@
     }
 
     /// The backend server as it last announced itself.
-    pub fn known(&self) -> &Backend {
+    pub fn announced_backend(&self) -> &Backend {
         &self.backend
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// How long ago the backend server answered; none if it never did.
-    pub fn heard_ago(&self, now: time::Duration) -> Option<time::Duration> {
+    pub fn last_answer_age(&self, now: time::Duration) -> Option<time::Duration> {
         self.lease.since_last_answer(now)
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Takes no more work; what runs goes on.
-    pub fn stop(&mut self, now: time::Duration) {
+    pub fn stop_accepting(&mut self, now: time::Duration) {
         self.stopping = true;
         self.pump(now);
     }
@@ -205,7 +205,11 @@
     /// Takes in an entry's word on whether the failure domain is evacuated: nothing new starts meanwhile,
     /// what runs goes on, and starts that wait go back to their entries at once. Returns whether that
     /// has changed.
-    pub fn evacuation(&mut self, now: time::Duration, word: evacuation::DomainState) -> bool {
+    pub fn update_evacuation(
+        &mut self,
+        now: time::Duration,
+        word: evacuation::DomainState,
+    ) -> bool {
         let changed = self.evacuation.update(word);
         if changed {
             log::info!(evacuated = word.evacuated, version = word.version;
@@ -216,7 +220,7 @@
     }
 
     /// Ends whatever is left.
-    pub fn stop_all(&mut self, now: time::Duration) {
+    pub fn end_all_runs(&mut self, now: time::Duration) {
         let all: Vec<Run> = self.held.keys().cloned().collect();
         for run in all {
             self.unwant(now, &run);
@@ -266,7 +270,7 @@
     }
 
     /// Orders for the backend server that have come up.
-    pub fn orders(&mut self) -> Vec<Order> {
+    pub fn take_orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.orders)
     }
 
@@ -321,7 +325,9 @@
         }
         let entry = self.entries.entry(held.entry).or_default();
         let took = now.saturating_sub(held.since);
-        self.counts.ended.observe(&[("how", outcome.name())], took);
+        self.counts
+            .run_seconds
+            .observe(&[("how", outcome.name())], took);
         let ended = RunEnd {
             run: run.clone(),
             outcome,
@@ -375,7 +381,7 @@
         // The lease covers the run from the order on. Were it renewed only as the order leaves, the
         // next look at the time bounds could find the run without one and give it up, while the
         // order is on its way: its task would run here and elsewhere.
-        let Some(until) = self.renew(now) else {
+        let Some(lease_until_ms) = self.renew_lease(now) else {
             return;
         };
         let Some(held) = self.held.get_mut(run) else {
@@ -390,7 +396,7 @@
             to: self.recipient(),
             run: run.clone(),
             input,
-            until,
+            lease_until_ms,
         });
     }
 }
--- a/src/decide/besteffort/slots/order.rs
+++ b/src/decide/besteffort/slots/order.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recipient {
     /// The life that is meant; any where its id is empty.
-    pub life: ServerIncarnation,
+    pub incarnation: ServerIncarnation,
     /// Lives that the agent had taken up when this was decided.
     pub fence: u64,
 }
@@ -31,7 +31,7 @@
         /// What it works on.
         input: CompactString,
         /// The end of its lease, on the backend server's clock in milliseconds.
-        until: u64,
+        lease_until_ms: u64,
     },
     /// End a run, or make sure that it never begins.
     Stop {
@@ -50,7 +50,7 @@
     /// It doesn't run and never will.
     Refused,
     /// The backend server turned it away since it is unwell; nothing ran.
-    Unwell,
+    Unhealthy,
     /// Nobody can tell; it may even begin later.
     Unknown,
 }
@@ -61,7 +61,7 @@
         match self {
             StartAnswer::Accepted => "accepted",
             StartAnswer::Refused => "refused",
-            StartAnswer::Unwell => "unwell",
+            StartAnswer::Unhealthy => "unwell",
             StartAnswer::Unknown => "unknown",
         }
     }
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -7,7 +7,7 @@
 use crate::decide::besteffort::message::{Run, RunOutcome};
 use crate::decide::besteffort::slots::lives::is_of;
 use crate::decide::besteffort::slots::{
-    millis, Held, Listing, PassedOver, Slots, StartAnswer, State, STOP_AGAIN,
+    millis, Held, Listing, Slots, StaleMessage, StartAnswer, State, STOP_AGAIN,
 };
 
 /// Part of the lease after which a renewal that wasn't answered is sent once more, on its own; the
@@ -21,7 +21,7 @@
         let gone: Vec<Run> = gone.map(|(run, _)| run.clone()).collect();
         if !gone.is_empty() {
             log::warn!(runs = gone.len(), why = why; "runs lost with the backend server");
-            *self.counts.lost.entry(why).or_default() += 1;
+            *self.counts.leases_lost.entry(why).or_default() += 1;
         }
         for run in gone {
             self.remember_lost(now, &run);
@@ -35,7 +35,7 @@
     /// before its task may start elsewhere. None as well before a life is known: each has a clock of
     /// its own, and a lease reckoned on that of a life which has crashed may last for minutes on that
     /// of the next.
-    pub fn renew(&mut self, now: time::Duration) -> Option<u64> {
+    pub fn renew_lease(&mut self, now: time::Duration) -> Option<u64> {
         if self.backend.incarnation.id.is_empty() {
             return None;
         }
@@ -56,7 +56,7 @@
     }
 
     /// The last end that needn't be listed any more.
-    pub fn acknowledged(&self) -> u64 {
+    pub fn acknowledged_end(&self) -> u64 {
         self.acknowledged
     }
 
@@ -69,8 +69,8 @@
     }
 
     /// Counts a word of the backend server that tells nothing any more.
-    pub fn passed_over(&mut self, word: PassedOver) {
-        *self.counts.passed_over.entry(word).or_default() += 1;
+    pub fn count_stale(&mut self, word: StaleMessage) {
+        *self.counts.stale_messages.entry(word).or_default() += 1;
     }
 
     /// Takes in whether the backend server answers; nothing is started while it doesn't.
@@ -85,7 +85,7 @@
     }
 
     /// A start was answered, or its time ran out.
-    pub fn answered(&mut self, now: time::Duration, run: &Run, answer: StartAnswer) {
+    pub fn start_answered(&mut self, now: time::Duration, run: &Run, answer: StartAnswer) {
         *self.counts.starts.entry(answer.name()).or_default() += 1;
         let Some(held) = self.held.get_mut(run) else {
             return;
@@ -103,7 +103,7 @@
                 self.may_have_begun(now);
             }
             StartAnswer::Refused => self.end(now, run, RunOutcome::NotRun),
-            StartAnswer::Unwell => self.end(now, run, RunOutcome::Rejected),
+            StartAnswer::Unhealthy => self.end(now, run, RunOutcome::Rejected),
             StartAnswer::Unknown => {
                 held.state = State::Unsure;
                 held.unwanted.get_or_insert(now);
@@ -137,13 +137,18 @@
     /// A listing of another life under the same id is the first sign of it, and is asked for again: this
     /// one was asked without the new life's fence, so that an order which was decided for the life before
     /// may still be carried out after it.
-    pub fn listed(&mut self, now: time::Duration, sent: time::Duration, listing: Listing) {
+    pub fn listing_received(
+        &mut self,
+        now: time::Duration,
+        sent: time::Duration,
+        listing: Listing,
+    ) {
         if !is_of(&listing, &self.backend.incarnation) {
             self.came_back(now, listing.born_ms);
             return;
         }
         if listing.clock_ms < self.newest_ms {
-            self.passed_over(PassedOver::Listing);
+            self.count_stale(StaleMessage::Listing);
             return;
         }
         self.newest_ms = listing.clock_ms;
--- a/tests/besteffort_agent.rs
+++ b/tests/besteffort_agent.rs
@@ -4,7 +4,7 @@
 
 use std::time;
 
-use lovagemill::besteffort::agent::{self, Agent, NoListing};
+use lovagemill::besteffort::agent::{self, Agent, ListingError};
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{AgentMessage, EntryMessage, Run, RunOutcome};
 use lovagemill::decide::besteffort::slots::StartAnswer;
@@ -20,9 +20,9 @@
 async fn open(calls: &Calls, silence: time::Duration) -> Agent {
     let cfg = agent::Config {
         name: "agent".into(),
-        life: 1,
+        incarnation: 1,
         failure_domain: "domain".into(),
-        links: ([127, 0, 0, 1], 0).into(),
+        link_addr: ([127, 0, 0, 1], 0).into(),
         bounds: Bounds {
             silence,
             // A renewal that is late lists as well, and must not do so within a test.
@@ -55,7 +55,7 @@
     let nothing = || Ok(listed(Vec::new(), Vec::new()));
     calls.answer_list("", nothing()).await;
     let (mut entry, _) = FakeEntry::connect(agent.link_addr(), 1).await;
-    agent.announced(heartbeat("life"));
+    agent.heartbeat_received(heartbeat("life"));
     calls.answer_list("life", nothing()).await;
     let ready = |line: &AgentMessage| line.backend.clone().filter(|b| b.takes_work);
     entry.until(ready).await;
@@ -79,12 +79,15 @@
             .answer_list("", Ok(listed(Vec::new(), Vec::new())))
             .await;
         let (mut entry, _) = FakeEntry::connect(agent.link_addr(), 1).await;
-        agent.announced(heartbeat("old"));
+        agent.heartbeat_received(heartbeat("old"));
         let nothing = || Ok(listed(Vec::new(), Vec::new()));
         calls.answer_list("old", nothing()).await;
-        support::until("the old life is known", || agent.life().id == "old").await;
+        support::until("the old life is known", || {
+            agent.server_incarnation().id == "old"
+        })
+        .await;
         let late = calls.list("old").await;
-        agent.announced(heartbeat("new"));
+        agent.heartbeat_received(heartbeat("new"));
         let running = Running::default();
         let listing = calls.keep_listing("new", &running);
         let is_new = |line: &AgentMessage| {
@@ -97,7 +100,7 @@
         let (begun, answer) = calls.start().await;
         running.lock().expect("no panic").push(begun.clone());
         answer.send(StartAnswer::Accepted).expect("the agent waits");
-        let _ = late.send(Err(NoListing::AnotherLife));
+        let _ = late.send(Err(ListingError::AnotherIncarnation));
         // Long enough for the old listing to be taken in: a line that knows the run's progress, or
         // one that gives the run up.
         let told = |line: &AgentMessage| {
@@ -143,11 +146,11 @@
         let mut roomier = heartbeat("life");
         roomier.backend.size.cpu += 1_000;
         // Nothing that the agent has spawned runs between these two.
-        agent.announced(roomier);
-        agent.announced(heartbeat("next"));
+        agent.heartbeat_received(roomier);
+        agent.heartbeat_received(heartbeat("next"));
         let (life, ordered) = calls
             .next("a start", |call| match call {
-                support::besteffort::Call::Start(to, run, _) => Ok((to.life.id, run)),
+                support::besteffort::Call::Start(to, run, _) => Ok((to.incarnation.id, run)),
                 other => Err(other),
             })
             .await;
@@ -172,7 +175,9 @@
         answer.send(true).expect("the agent waits");
         let (renews, next) = calls
             .next("a listing", |call| match call {
-                support::besteffort::Call::List(call, tx) => Ok((call.until.is_some(), tx)),
+                support::besteffort::Call::List(call, tx) => {
+                    Ok((call.lease_until_ms.is_some(), tx))
+                }
                 other => Err(other),
             })
             .await;
@@ -276,10 +281,13 @@
         let calls = Calls::default();
         let agent = open(&calls, PATIENT).await;
         let early = calls.list("").await;
-        agent.announced(heartbeat("life"));
+        agent.heartbeat_received(heartbeat("life"));
         let nothing = Ok(listed(Vec::new(), Vec::new()));
         calls.answer_list("life", nothing).await;
-        support::until("the life is known", || agent.life().id == "life").await;
+        support::until("the life is known", || {
+            agent.server_incarnation().id == "life"
+        })
+        .await;
         let _ = early.send(Ok(listed(
             Vec::new(),
             vec![(run("job", 0, 1), RunOutcome::Done)],
@@ -287,7 +295,9 @@
         for _ in 0..3 {
             let (acknowledged, tx) = calls
                 .next("a listing", |call| match call {
-                    support::besteffort::Call::List(call, tx) if call.to.life.id == "life" => {
+                    support::besteffort::Call::List(call, tx)
+                        if call.to.incarnation.id == "life" =>
+                    {
                         Ok((call.acknowledged, tx))
                     }
                     other => Err(other),
@@ -307,16 +317,16 @@
     support::block_on(async {
         for (answer, expected) in [
             (Ok(listed(Vec::new(), Vec::new())), "life"),
-            (Err(NoListing::AnotherLife), ""),
-            (Err(NoListing::Silent), ""),
+            (Err(ListingError::AnotherIncarnation), ""),
+            (Err(ListingError::NoAnswer), ""),
         ] {
             let calls = Calls::default();
             let agent = open(&calls, PATIENT).await;
             let asked = async {
                 calls.answer_list("life", answer).await;
             };
-            tokio::join!(agent.remembered(backend("life")), asked);
-            assert_eq!(agent.life().id, expected);
+            tokio::join!(agent.restore_backend(backend("life")), asked);
+            assert_eq!(agent.server_incarnation().id, expected);
         }
     });
 }
@@ -366,7 +376,7 @@
         let (_entry, hello) = FakeEntry::connect_again(agent.link_addr(), 1, 2).await;
         assert!(hello.hello.is_some());
         silent.closed().await;
-        assert_eq!(agent.status().linked, 1);
+        assert_eq!(agent.status().linked_entries, 1);
     });
 }
 
@@ -383,7 +393,7 @@
         let older = tokio::spawn(FakeEntry::connect_again(agent.link_addr(), 1, 6));
         assert!(older.await.is_err(), "the agent closes it unanswered");
         entry.read().await;
-        assert_eq!(agent.status().linked, 1);
+        assert_eq!(agent.status().linked_entries, 1);
     });
 }
 
@@ -397,13 +407,13 @@
             .answer_list("", Ok(listed(Vec::new(), Vec::new())))
             .await;
         let mut entries = Vec::new();
-        for life in 0..agent::MOST_LINKS as u64 {
+        for life in 0..agent::MAX_LINKS as u64 {
             entries.push(FakeEntry::connect(agent.link_addr(), life).await);
         }
         let one_more = tokio::spawn(FakeEntry::connect(agent.link_addr(), u64::MAX));
         assert!(one_more.await.is_err(), "it is turned away");
         let (again, _) = FakeEntry::connect_again(agent.link_addr(), 0, 2).await;
-        assert_eq!(agent.status().linked, agent::MOST_LINKS);
+        assert_eq!(agent.status().linked_entries, agent::MAX_LINKS);
         drop(again);
     });
 }
--- a/tests/besteffort_crashes.rs
+++ b/tests/besteffort_crashes.rs
@@ -12,7 +12,7 @@
 use lovagemill::decide::besteffort::message::{
     Crash, Run, RunOutcome, ServerIncarnation, Start, TaskName,
 };
-use lovagemill::decide::besteffort::slots::{Checked, Listing, Order, Slots, StartAnswer};
+use lovagemill::decide::besteffort::slots::{CheckResult, Listing, Order, Slots, StartAnswer};
 
 use support::besteffort::{self, ends, entry, heartbeat, run};
 
@@ -33,10 +33,10 @@
 /// An agent whose backend server is known, and an entry that is heard.
 fn open() -> Slots {
     let mut slots = Slots::open(Bounds::default());
-    let check = slots.announced(ms(START), heartbeat("life"));
-    let there = Checked::There(listing(START, &[]));
-    assert!(slots.checked(ms(START), ms(START), &check.expect("a new life"), there));
-    slots.entry_up(ms(START), &entry("e"));
+    let check = slots.heartbeat_received(ms(START), heartbeat("life"));
+    let there = CheckResult::Answered(listing(START, &[]));
+    assert!(slots.check_answered(ms(START), ms(START), &check.expect("a new life"), there));
+    slots.entry_connected(ms(START), &entry("e"));
     slots
 }
 
@@ -51,24 +51,24 @@
 /// Sends a start and returns whether it was passed on.
 fn begins(slots: &mut Slots, at: u64, start: Start) -> bool {
     let run = start.run.clone();
-    slots.heard(ms(at), &entry("e"), at);
-    slots.start(ms(at), &entry("e"), true, start);
+    slots.message_received(ms(at), &entry("e"), at);
+    slots.start_requested(ms(at), &entry("e"), true, start);
     is_ordered(slots, at, &run)
 }
 
 fn is_ordered(slots: &mut Slots, at: u64, wanted: &Run) -> bool {
-    let orders = slots.orders();
+    let orders = slots.take_orders();
     let found = orders
         .iter()
         .any(|order| matches!(order, Order::Start { run, .. } if run == wanted));
     if found {
-        slots.answered(ms(at), wanted, StartAnswer::Accepted);
+        slots.start_answered(ms(at), wanted, StartAnswer::Accepted);
     }
     found
 }
 
 fn told(slots: &mut Slots, at: u64) -> Vec<Crash> {
-    slots.line(&entry("e"), ms(at)).crashes
+    slots.next_message(&entry("e"), ms(at)).crashes
 }
 
 fn name(run: &Run) -> TaskName {
@@ -86,7 +86,7 @@
         besteffort::start(task.clone(), START)
     ));
     for at in (START..START + 2_000).step_by(20) {
-        slots.heard(ms(at), &entry("e"), at);
+        slots.message_received(ms(at), &entry("e"), at);
         slots.tick(ms(at));
     }
     let after = START + 2_000;
@@ -94,7 +94,7 @@
         ends(&mut slots, &entry("e"), ms(after)),
         [(task, RunOutcome::Gone)]
     );
-    slots.listed(ms(after), ms(after), listing(after, &[]));
+    slots.listing_received(ms(after), ms(after), listing(after, &[]));
     assert_eq!(told(&mut slots, after), []);
 }
 
@@ -110,12 +110,12 @@
     let mut leaving = heartbeat("life");
     leaving.number = 2;
     leaving.backend.takes_work = false;
-    slots.announced(ms(START + 10), leaving);
+    slots.heartbeat_received(ms(START + 10), leaving);
     let to = slots.recipient();
-    slots.refused(ms(START + 20), &to);
-    let check = slots.announced(ms(START + 30), heartbeat("next"));
-    let there = Checked::There(listing(START + 30, &[]));
-    slots.checked(ms(START + 30), ms(START + 30), &check.expect("new"), there);
+    slots.connection_refused(ms(START + 20), &to);
+    let check = slots.heartbeat_received(ms(START + 30), heartbeat("next"));
+    let there = CheckResult::Answered(listing(START + 30, &[]));
+    slots.check_answered(ms(START + 30), ms(START + 30), &check.expect("new"), there);
     assert_eq!(told(&mut slots, START + 30), []);
 }
 
@@ -130,10 +130,10 @@
         besteffort::start(task.clone(), START)
     ));
     let to = slots.recipient();
-    slots.refused(ms(START + 20), &to);
+    slots.connection_refused(ms(START + 20), &to);
     let crash = told(&mut slots, START + 20);
     assert_eq!(crash[0].likely, [name(&task)]);
-    slots.listed(ms(START + 40), ms(START + 40), listing(START + 40, &[task]));
+    slots.listing_received(ms(START + 40), ms(START + 40), listing(START + 40, &[task]));
     let crash = told(&mut slots, START + 40);
     assert_eq!(crash[0].suspects().count(), 0, "taken back");
 }
@@ -149,21 +149,23 @@
         besteffort::start(old.clone(), START)
     ));
     let at = START + 200;
-    slots.listed(ms(at), ms(at), listing(at, std::slice::from_ref(&old)));
+    slots.listing_received(ms(at), ms(at), listing(at, std::slice::from_ref(&old)));
     assert!(begins(&mut slots, at, besteffort::start(young.clone(), at)));
     let mut next = heartbeat("life");
     next.backend.incarnation = ServerIncarnation {
         born_ms: Some(7),
         ..ServerIncarnation::with_id("life")
     };
-    let check = slots.announced(ms(at + 10), next).expect("another start");
-    let there = Checked::There(Listing {
+    let check = slots
+        .heartbeat_received(ms(at + 10), next)
+        .expect("another start");
+    let there = CheckResult::Answered(Listing {
         born_ms: Some(7),
         ..listing(5, &[])
     });
-    assert!(slots.checked(ms(at + 10), ms(at + 10), &check, there));
-    slots.entry_up(ms(at + 20), &entry("later"));
-    let crash = slots.line(&entry("later"), ms(at + 20)).crashes;
+    assert!(slots.check_answered(ms(at + 10), ms(at + 10), &check, there));
+    slots.entry_connected(ms(at + 20), &entry("later"));
+    let crash = slots.next_message(&entry("later"), ms(at + 20)).crashes;
     assert_eq!(crash[0].likely, [name(&young)]);
     assert_eq!(crash[0].possible, [name(&old)]);
 }
@@ -173,17 +175,17 @@
 fn a_start_without_an_answer_is_suspected() {
     let mut slots = open();
     let task = run("job", 0, 1);
-    slots.heard(ms(START), &entry("e"), START);
-    slots.start(
+    slots.message_received(ms(START), &entry("e"), START);
+    slots.start_requested(
         ms(START),
         &entry("e"),
         true,
         besteffort::start(task.clone(), START),
     );
     let to = slots.recipient();
-    slots.refused(ms(START + 20), &to);
+    slots.connection_refused(ms(START + 20), &to);
     assert_eq!(told(&mut slots, START + 20), [], "it may never have begun");
-    slots.answered(ms(START + 50), &task, StartAnswer::Unknown);
+    slots.start_answered(ms(START + 50), &task, StartAnswer::Unknown);
     assert_eq!(told(&mut slots, START + 50)[0].likely, [name(&task)]);
     assert_eq!(slots.counts.crashes, 1);
 }
@@ -193,16 +195,16 @@
 fn a_start_that_is_answered_after_the_crash_is_suspected() {
     let mut slots = open();
     let task = run("job", 0, 1);
-    slots.heard(ms(START), &entry("e"), START);
-    slots.start(
+    slots.message_received(ms(START), &entry("e"), START);
+    slots.start_requested(
         ms(START),
         &entry("e"),
         true,
         besteffort::start(task.clone(), START),
     );
     let to = slots.recipient();
-    slots.refused(ms(START + 3), &to);
-    slots.answered(ms(START + 4), &task, StartAnswer::Accepted);
+    slots.connection_refused(ms(START + 3), &to);
+    slots.start_answered(ms(START + 4), &task, StartAnswer::Accepted);
     assert_eq!(told(&mut slots, START + 4)[0].likely, [name(&task)]);
 }
 
@@ -234,8 +236,8 @@
     ));
     assert_eq!(slots.free(), Default::default(), "the room is kept");
     let at = START + probation;
-    slots.heard(ms(at), &entry("e"), at);
-    slots.listed(ms(at), ms(at), listing(at, &[first]));
+    slots.message_received(ms(at), &entry("e"), at);
+    slots.listing_received(ms(at), ms(at), listing(at, &[first]));
     slots.tick(ms(at));
     assert!(is_ordered(&mut slots, at, &suspected));
     slots.tick(ms(at + 20));
@@ -255,8 +257,8 @@
     let to = slots.recipient();
     let mut crashed = slots;
     let at = at + probation;
-    crashed.heard(ms(at), &entry("e"), at);
-    crashed.refused(ms(at), &to);
+    crashed.message_received(ms(at), &entry("e"), at);
+    crashed.connection_refused(ms(at), &to);
     let crash = &told(&mut crashed, at)[0];
     assert_eq!(crash.proven, [name(&suspected)]);
     assert_eq!(
@@ -278,7 +280,7 @@
         suspect(suspected.clone(), LIKELY_POINTS)
     ));
     let at = START + probation + 1;
-    slots.listed(ms(at), ms(at), listing(at, &[suspected]));
+    slots.listing_received(ms(at), ms(at), listing(at, &[suspected]));
     assert!(begins(
         &mut slots,
         at,
--- a/tests/besteffort_evacuation.rs
+++ b/tests/besteffort_evacuation.rs
@@ -9,7 +9,7 @@
 };
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{Run, RunOutcome};
-use lovagemill::decide::besteffort::slots::{Checked, Order, Slots, StartAnswer};
+use lovagemill::decide::besteffort::slots::{CheckResult, Order, Slots, StartAnswer};
 
 use support::besteffort::{self, entry, heartbeat, listed, run, start};
 
@@ -44,19 +44,19 @@
 /// An agent with a living backend server and two entries that it hears.
 fn open() -> Slots {
     let mut slots = Slots::open(Bounds::default());
-    let check = slots.announced(ms(START), heartbeat("life"));
+    let check = slots.heartbeat_received(ms(START), heartbeat("life"));
     let check = check.expect("a new life is checked");
-    let there = Checked::There(listed(Vec::new(), Vec::new()));
-    assert!(slots.checked(ms(START), ms(START), &check, there));
+    let there = CheckResult::Answered(listed(Vec::new(), Vec::new()));
+    assert!(slots.check_answered(ms(START), ms(START), &check, there));
     for name in ["informed", "cut-off"] {
-        slots.entry_up(ms(START), &entry(name));
-        slots.heard(ms(START), &entry(name), START);
+        slots.entry_connected(ms(START), &entry(name));
+        slots.message_received(ms(START), &entry(name), START);
     }
     slots
 }
 
 fn begun(slots: &mut Slots) -> Vec<Run> {
-    let orders = slots.orders().into_iter();
+    let orders = slots.take_orders().into_iter();
     let starts = orders.filter_map(|order| match order {
         Order::Start { run, .. } => Some(run),
         Order::Stop { .. } => None,
@@ -70,7 +70,7 @@
 
 /// An entry sends a start.
 fn send(slots: &mut Slots, name: &str, run: Run) {
-    slots.start(ms(START), &entry(name), true, start(run, START));
+    slots.start_requested(ms(START), &entry(name), true, start(run, START));
 }
 
 /// A task starts in a failure domain whose power is about to be cut. The operator has evacuated it, but
@@ -79,8 +79,8 @@
 #[test]
 fn an_entry_that_does_not_know_starts_nothing_in_an_evacuated_domain() {
     let mut slots = open();
-    assert!(slots.evacuation(ms(START), word(50, true)));
-    assert!(!slots.backend().takes_work, "entries are told");
+    assert!(slots.update_evacuation(ms(START), word(50, true)));
+    assert!(!slots.advertised_backend().takes_work, "entries are told");
     send(&mut slots, "cut-off", run("a", 0, 1));
     assert_eq!(begun(&mut slots), []);
     assert_eq!(
@@ -88,7 +88,7 @@
         [(run("a", 0, 1), RunOutcome::NotRun)]
     );
     // The old word of the entry that knows nothing newer changes nothing.
-    assert!(!slots.evacuation(ms(START), word(40, false)));
+    assert!(!slots.update_evacuation(ms(START), word(40, false)));
     send(&mut slots, "cut-off", run("a", 0, 2));
     assert_eq!(begun(&mut slots), []);
 }
@@ -104,23 +104,26 @@
     }
     assert_eq!(begun(&mut slots).len(), 4);
     for task in 0..4 {
-        slots.answered(ms(START), &run("a", task, 1), StartAnswer::Accepted);
+        slots.start_answered(ms(START), &run("a", task, 1), StartAnswer::Accepted);
     }
-    slots.evacuation(ms(START), word(50, true));
+    slots.update_evacuation(ms(START), word(50, true));
     assert_eq!(
         ends(&mut slots, "informed"),
         [(run("a", 4, 1), RunOutcome::NotRun)]
     );
-    assert!(slots.orders().is_empty(), "nothing that runs is stopped");
+    assert!(
+        slots.take_orders().is_empty(),
+        "nothing that runs is stopped"
+    );
     let done = (0..4)
         .map(|task| (run("a", task, 1), RunOutcome::Done))
         .collect();
-    slots.listed(ms(START + 50), ms(START + 40), listed(Vec::new(), done));
+    slots.listing_received(ms(START + 50), ms(START + 40), listed(Vec::new(), done));
     assert_eq!(ends(&mut slots, "informed").len(), 4);
-    assert!(slots.evacuation(ms(START + 60), word(70, false)));
-    assert!(slots.backend().takes_work);
+    assert!(slots.update_evacuation(ms(START + 60), word(70, false)));
+    assert!(slots.advertised_backend().takes_work);
     let next = start(run("b", 0, 1), START);
-    slots.start(ms(START + 60), &entry("informed"), true, next);
+    slots.start_requested(ms(START + 60), &entry("informed"), true, next);
     assert_eq!(begun(&mut slots), [run("b", 0, 1)]);
 }
 
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -8,7 +8,7 @@
 use lovagemill::decide::besteffort::asking::RoomRequests;
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{Room, Run, RunOutcome, WaitingWork};
-use lovagemill::decide::besteffort::slots::{Checked, Listing, Slots, StartAnswer};
+use lovagemill::decide::besteffort::slots::{CheckResult, Listing, Slots, StartAnswer};
 
 use support::besteffort::{self, entry, heartbeat, listed, NEED};
 
@@ -30,18 +30,18 @@
 /// An agent whose four places are taken by the first entry, and the entries that have connected.
 fn full(entries: &[&str]) -> Slots {
     let mut slots = Slots::open(Bounds::default());
-    let check = slots.announced(ms(START), heartbeat("life"));
-    let there = Checked::There(listed_at(START, Vec::new()));
-    assert!(slots.checked(ms(START), ms(START), &check.expect("a new life"), there));
+    let check = slots.heartbeat_received(ms(START), heartbeat("life"));
+    let there = CheckResult::Answered(listed_at(START, Vec::new()));
+    assert!(slots.check_answered(ms(START), ms(START), &check.expect("a new life"), there));
     for name in entries {
-        slots.entry_up(ms(START), &entry(name));
-        slots.heard(ms(START), &entry(name), START);
+        slots.entry_connected(ms(START), &entry(name));
+        slots.message_received(ms(START), &entry(name), START);
     }
     for number in 1..=4 {
         let run = besteffort::run("full", number as u32, number);
         let start = besteffort::start(run.clone(), START);
-        slots.start(ms(START), &entry(entries[0]), true, start);
-        slots.answered(ms(START), &run, StartAnswer::Accepted);
+        slots.start_requested(ms(START), &entry(entries[0]), true, start);
+        slots.start_answered(ms(START), &run, StartAnswer::Accepted);
     }
     slots
 }
@@ -58,7 +58,7 @@
 /// One task of the first entry ends.
 fn one_ends(slots: &mut Slots, at: u64) {
     let ended = vec![(besteffort::run("full", 1, 1), RunOutcome::Done)];
-    slots.listed(ms(at), ms(at), listed_at(at, ended));
+    slots.listing_received(ms(at), ms(at), listed_at(at, ended));
 }
 
 /// Callers' jobs take five starts a task in a burst, and thin entries stand still under the lines. A
@@ -72,11 +72,11 @@
         ("b", wants(0, 9, 2)),
         ("c", wants(0, 8, 2)),
     ] {
-        slots.waits(ms(START + 1), &entry(name), START, wants);
+        slots.update_wants(ms(START + 1), &entry(name), START, wants);
     }
     one_ends(&mut slots, START + 10);
     let told = ["a", "b", "c"].map(|name| {
-        let line = slots.line(&entry(name), ms(START + 10));
+        let line = slots.next_message(&entry(name), ms(START + 10));
         (line.lent, line.free)
     });
     let none = Room::default();
@@ -89,52 +89,52 @@
 #[test]
 fn room_that_isn_t_used_goes_to_the_next() {
     let mut slots = full(&["a", "b"]);
-    slots.waits(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
-    slots.waits(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
     one_ends(&mut slots, START + 10);
-    assert_eq!(slots.line(&entry("a"), ms(START + 10)).lent, NEED);
-    assert!(!slots.has_news(&entry("b")));
+    assert_eq!(slots.next_message(&entry("a"), ms(START + 10)).lent, NEED);
+    assert!(!slots.has_unsent(&entry("b")));
     // A line that left before the place was offered says nothing about it.
-    slots.waits(ms(START + 11), &entry("a"), START + 9, wants(0, 5, 1));
-    assert!(!slots.has_news(&entry("b")));
-    slots.waits(ms(START + 12), &entry("a"), START + 10, None);
-    assert!(slots.has_news(&entry("b")));
-    assert_eq!(slots.line(&entry("b"), ms(START + 12)).lent, NEED);
+    slots.update_wants(ms(START + 11), &entry("a"), START + 9, wants(0, 5, 1));
+    assert!(!slots.has_unsent(&entry("b")));
+    slots.update_wants(ms(START + 12), &entry("a"), START + 10, None);
+    assert!(slots.has_unsent(&entry("b")));
+    assert_eq!(slots.next_message(&entry("b"), ms(START + 12)).lent, NEED);
 }
 
 /// The same where the entry doesn't answer at all, since it is stopped or cut off.
 #[test]
 fn room_isn_t_kept_for_an_entry_that_doesn_t_answer() {
     let mut slots = full(&["a", "b"]);
-    slots.waits(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
-    slots.waits(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
     one_ends(&mut slots, START + 10);
-    assert_eq!(slots.line(&entry("a"), ms(START + 10)).lent, NEED);
-    slots.heard(ms(START + 30), &entry("a"), START + 5);
+    assert_eq!(slots.next_message(&entry("a"), ms(START + 10)).lent, NEED);
+    slots.message_received(ms(START + 30), &entry("a"), START + 5);
     slots.tick(ms(START + 40));
     // What is lent lapses, and the first entry still is the most urgent one that asks.
-    assert_eq!(slots.line(&entry("a"), ms(START + 40)).lent, NEED);
-    slots.waits(ms(START + 41), &entry("a"), START + 40, None);
-    assert_eq!(slots.line(&entry("b"), ms(START + 41)).lent, NEED);
+    assert_eq!(slots.next_message(&entry("a"), ms(START + 40)).lent, NEED);
+    slots.update_wants(ms(START + 41), &entry("a"), START + 40, None);
+    assert_eq!(slots.next_message(&entry("b"), ms(START + 41)).lent, NEED);
 }
 
 /// A start that comes for a loan takes the place, whoever asked meanwhile.
 #[test]
 fn a_start_takes_the_place_that_was_kept_for_it() {
     let mut slots = full(&["a", "b"]);
-    slots.waits(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
     one_ends(&mut slots, START + 10);
-    assert_eq!(slots.line(&entry("b"), ms(START + 10)).lent, NEED);
-    slots.line(&entry("a"), ms(START + 10));
-    slots.waits(ms(START + 11), &entry("a"), START, wants(0, 1, 1));
-    assert!(!slots.has_news(&entry("a")), "the place is kept");
-    slots.orders();
+    assert_eq!(slots.next_message(&entry("b"), ms(START + 10)).lent, NEED);
+    slots.next_message(&entry("a"), ms(START + 10));
+    slots.update_wants(ms(START + 11), &entry("a"), START, wants(0, 1, 1));
+    assert!(!slots.has_unsent(&entry("a")), "the place is kept");
+    slots.take_orders();
     let run = besteffort::run("lent", 0, 1);
     let start = besteffort::start(run.clone(), START + 12);
-    slots.start(ms(START + 12), &entry("b"), true, start);
-    slots.waits(ms(START + 12), &entry("b"), START + 10, None);
-    assert_eq!(slots.orders().len(), 1, "it begins at once");
-    assert!(!slots.has_news(&entry("a")), "nothing is left to lend");
+    slots.start_requested(ms(START + 12), &entry("b"), true, start);
+    slots.update_wants(ms(START + 12), &entry("b"), START + 10, None);
+    assert_eq!(slots.take_orders().len(), 1, "it begins at once");
+    assert!(!slots.has_unsent(&entry("a")), "nothing is left to lend");
 }
 
 /// An entry with 68 agents writes to all of them each time that work begins to wait, which a thin entry
@@ -174,14 +174,14 @@
 fn only_entries_with_work_waiting_compete() {
     let mut slots = full(&["a", "b", "c"]);
     let sharers = |slots: &mut Slots| {
-        ["a", "b", "c"].map(|name| slots.line(&entry(name), ms(START + 2)).sharers)
+        ["a", "b", "c"].map(|name| slots.next_message(&entry(name), ms(START + 2)).sharers)
     };
     assert_eq!(sharers(&mut slots), [1, 1, 1]);
-    slots.waits(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
     assert_eq!(sharers(&mut slots), [1, 2, 2]);
-    slots.waits(ms(START + 1), &entry("b"), START, wants(0, 5, 1));
+    slots.update_wants(ms(START + 1), &entry("b"), START, wants(0, 5, 1));
     assert_eq!(sharers(&mut slots), [2, 2, 3]);
-    slots.heard(ms(START + 500), &entry("a"), START + 500);
-    let late = slots.line(&entry("a"), ms(START + 500));
+    slots.message_received(ms(START + 500), &entry("a"), START + 500);
+    let late = slots.next_message(&entry("a"), ms(START + 500));
     assert_eq!(late.sharers, 1, "the other one isn't heard any more");
 }
--- a/tests/besteffort_load/world.rs
+++ b/tests/besteffort_load/world.rs
@@ -13,7 +13,7 @@
     ServerIncarnation,
 };
 use lovagemill::decide::besteffort::policy::Policy;
-use lovagemill::decide::besteffort::slots::{Checked, Listing, Order, Slots, StartAnswer};
+use lovagemill::decide::besteffort::slots::{CheckResult, Listing, Order, Slots, StartAnswer};
 use lovagemill::decide::besteffort::subset::{LinkChange, ListedAgent};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -222,7 +222,7 @@
 
     fn new_agent(&self, a: usize) -> Agent {
         let mut slots = Slots::open(Bounds::default());
-        slots.isolate(self.load.isolation);
+        slots.set_isolation(self.load.isolation);
         meet(&mut slots, self.now, backend(a, 0, &self.load));
         Agent {
             slots,
@@ -237,7 +237,9 @@
     }
 
     fn connect(&mut self, e: usize, a: usize) {
-        let mut hello = self.agents[a].slots.entry_up(at(self.now), &self.names[e]);
+        let mut hello = self.agents[a]
+            .slots
+            .entry_connected(at(self.now), &self.names[e]);
         hello.agent = format!("agent-{a}").into();
         hello.incarnation = 1;
         hello.failure_domain = self.domain(a);
@@ -342,7 +344,9 @@
             Event::Order(a, order) => self.order(a, order),
             Event::Begin(a, run) => self.begin(a, run),
             Event::Answer(a, run, answer) => {
-                self.agents[a].slots.answered(at(self.now), &run, answer);
+                self.agents[a]
+                    .slots
+                    .start_answered(at(self.now), &run, answer);
                 self.flush_agent(a);
             }
             Event::Stopped(a, run) => {
@@ -522,16 +526,18 @@
         }
         let (now, of) = (at(self.now), self.names[e].clone());
         let agent = &mut self.agents[a];
-        let fresh = agent.slots.heard(now, &of, line.seen_ms);
+        let fresh = agent.slots.message_received(now, &of, line.seen_ms);
         for run in &line.stops {
             agent.slots.withdraw(now, &of, run);
         }
         let is_heartbeat = line.starts.is_empty() && line.stops.is_empty();
         for start in line.starts {
             agent.taken[e] += 1;
-            agent.slots.start(now, &of, fresh, start);
+            agent.slots.start_requested(now, &of, fresh, start);
         }
-        agent.slots.waits(now, &of, line.seen_ms, line.waiting);
+        agent
+            .slots
+            .update_wants(now, &of, line.seen_ms, line.waiting);
         if is_heartbeat {
             self.agent_says(e, a);
         }
@@ -546,9 +552,9 @@
 
     fn agent_line(&mut self, e: usize, a: usize) -> AgentMessage {
         let agent = &mut self.agents[a];
-        let mut line = agent.slots.line(&self.names[e], at(self.now));
+        let mut line = agent.slots.next_message(&self.names[e], at(self.now));
         line.starts_read = agent.taken[e];
-        line.backend = Some(agent.slots.backend());
+        line.backend = Some(agent.slots.advertised_backend());
         if self.load.claims == Claims::Everyone {
             line.free = agent.slots.free();
             line.lent = Room::default();
@@ -570,14 +576,14 @@
     }
 
     fn flush_agent(&mut self, a: usize) {
-        for order in self.agents[a].slots.orders() {
+        for order in self.agents[a].slots.take_orders() {
             self.after(ORDER, Event::Order(a, order));
         }
         for e in 0..self.load.entries {
             if !self.entries[e].links.contains_key(&(a as u64)) {
                 continue;
             }
-            let news = self.agents[a].slots.has_news(&self.names[e]);
+            let news = self.agents[a].slots.has_unsent(&self.names[e]);
             let told = self.load.claims == Claims::Everyone
                 && self.entries[e].board.waiting_work().is_some();
             if news || told {
@@ -662,12 +668,12 @@
         if self.now < agent.down_until {
             if self.now + DOWN >= agent.down_until + REFUSED {
                 let to = agent.slots.recipient();
-                agent.slots.refused(now, &to);
+                agent.slots.connection_refused(now, &to);
                 self.flush_agent(a);
             }
             return;
         }
-        let acknowledged = agent.slots.acknowledged();
+        let acknowledged = agent.slots.acknowledged_end();
         agent.ended.retain(|(number, ..)| *number > acknowledged);
         let progress = |(run, (began, work)): (&Run, &(Us, Us))| {
             (run.clone(), ((self.now - began) * 100 / work).min(99) as u8)
@@ -683,8 +689,8 @@
                 .collect(),
             last_end: agent.last_end,
         };
-        agent.slots.listed(now, now, listing);
-        agent.slots.renew(now);
+        agent.slots.listing_received(now, now, listing);
+        agent.slots.renew_lease(now);
         self.flush_agent(a);
     }
 }
@@ -692,12 +698,14 @@
 /// A life of a backend server announces itself and answers.
 fn meet(slots: &mut Slots, now: Us, backend: Backend) {
     let heartbeat = Heartbeat { backend, number: 1 };
-    let check = slots.announced(at(now), heartbeat).expect("a new life");
-    let there = Checked::There(Listing {
+    let check = slots
+        .heartbeat_received(at(now), heartbeat)
+        .expect("a new life");
+    let there = CheckResult::Answered(Listing {
         clock_ms: now / MS,
         ..Listing::default()
     });
-    assert!(slots.checked(at(now), at(now), &check, there));
+    assert!(slots.check_answered(at(now), at(now), &check, there));
 }
 
 impl Agent {
--- a/tests/besteffort_returns.rs
+++ b/tests/besteffort_returns.rs
@@ -10,7 +10,7 @@
     EntryIncarnation, Heartbeat, Run, RunOutcome, ServerIncarnation,
 };
 use lovagemill::decide::besteffort::slots::{
-    Check, Checked, Listing, Order, PassedOver, Slots, StartAnswer,
+    Check, CheckResult, Listing, Order, Slots, StaleMessage, StartAnswer,
 };
 
 use support::besteffort::{self, entry, run};
@@ -47,7 +47,7 @@
 }
 
 fn announce(slots: &mut Slots, at: u64, heartbeat: Heartbeat) -> Check {
-    let check = slots.announced(ms(at), heartbeat);
+    let check = slots.heartbeat_received(ms(at), heartbeat);
     check.expect("a life that isn't known is asked for")
 }
 
@@ -55,25 +55,25 @@
 fn open() -> Slots {
     let mut slots = Slots::open(Bounds::default());
     let check = announce(&mut slots, START, heartbeat(FIRST, 20, true));
-    let there = Checked::There(listing(FIRST, START, &[]));
-    assert!(slots.checked(ms(START), ms(START), &check, there));
-    slots.entry_up(ms(START), &name());
-    slots.heard(ms(START), &name(), START);
+    let there = CheckResult::Answered(listing(FIRST, START, &[]));
+    assert!(slots.check_answered(ms(START), ms(START), &check, there));
+    slots.entry_connected(ms(START), &name());
+    slots.message_received(ms(START), &name(), START);
     slots
 }
 
 /// Orders a start; its answer is still to come.
 fn order(slots: &mut Slots, at: u64, run: &Run) {
-    slots.start(ms(at), &name(), true, besteffort::start(run.clone(), at));
-    let orders = slots.orders();
+    slots.start_requested(ms(at), &name(), true, besteffort::start(run.clone(), at));
+    let orders = slots.take_orders();
     assert!(matches!(&orders[..], [Order::Start { run: begun, .. }] if begun == run));
 }
 
 /// The second life answers a question that names it; it has no run under way.
 fn take_up_second(slots: &mut Slots, at: u64, takes_work: bool) {
     let check = announce(slots, at, heartbeat(SECOND, 1, takes_work));
-    let there = Checked::There(listing(SECOND, 7, &[]));
-    assert!(slots.checked(ms(at), ms(at), &check, there));
+    let there = CheckResult::Answered(listing(SECOND, 7, &[]));
+    assert!(slots.check_answered(ms(at), ms(at), &check, there));
 }
 
 fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, RunOutcome)> {
@@ -86,24 +86,24 @@
 fn heartbeats_are_numbered_within_a_life() {
     let mut slots = open();
     take_up_second(&mut slots, START + 1, true);
-    slots.listed(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
-    assert!(slots.backend().takes_work);
+    slots.listing_received(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
+    assert!(slots.advertised_backend().takes_work);
     assert_eq!(
-        slots.announced(ms(START + 4), heartbeat(SECOND, 2, false)),
+        slots.heartbeat_received(ms(START + 4), heartbeat(SECOND, 2, false)),
         None
     );
-    assert!(!slots.backend().takes_work, "it leaves");
+    assert!(!slots.advertised_backend().takes_work, "it leaves");
     // Late ones, of this life and of the one before.
     assert_eq!(
-        slots.announced(ms(START + 5), heartbeat(SECOND, 1, true)),
+        slots.heartbeat_received(ms(START + 5), heartbeat(SECOND, 1, true)),
         None
     );
     assert_eq!(
-        slots.announced(ms(START + 6), heartbeat(FIRST, 21, true)),
+        slots.heartbeat_received(ms(START + 6), heartbeat(FIRST, 21, true)),
         None
     );
-    assert!(!slots.backend().takes_work, "it still leaves");
-    assert_eq!(slots.counts.passed_over[&PassedOver::Heartbeat], 2);
+    assert!(!slots.advertised_backend().takes_work, "it still leaves");
+    assert_eq!(slots.counts.stale_messages[&StaleMessage::Heartbeat], 2);
 }
 
 /// A healthy backend server gets nothing: the life before had said that it leaves, and that word comes
@@ -112,19 +112,19 @@
 fn the_leave_of_the_life_before_isn_t_that_of_the_next() {
     let mut slots = open();
     take_up_second(&mut slots, START + 1, true);
-    slots.listed(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
-    slots.announced(ms(START + 4), heartbeat(FIRST, 22, false));
+    slots.listing_received(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
+    slots.heartbeat_received(ms(START + 4), heartbeat(FIRST, 22, false));
     let first = ServerIncarnation {
         born_ms: Some(FIRST),
-        ..slots.life().clone()
+        ..slots.server_incarnation().clone()
     };
-    slots.left(ms(START + 5), &first);
-    assert!(slots.backend().takes_work);
+    slots.server_left(ms(START + 5), &first);
+    assert!(slots.advertised_backend().takes_work);
     // A leave that names no life may be that of either; the living one's next word sets it right.
-    slots.left(ms(START + 6), &ServerIncarnation::with_id("server"));
-    assert!(!slots.backend().takes_work);
-    slots.announced(ms(START + 7), heartbeat(SECOND, 2, true));
-    assert!(slots.backend().takes_work);
+    slots.server_left(ms(START + 6), &ServerIncarnation::with_id("server"));
+    assert!(!slots.advertised_backend().takes_work);
+    slots.heartbeat_received(ms(START + 7), heartbeat(SECOND, 2, true));
+    assert!(slots.advertised_backend().takes_work);
 }
 
 /// A healthy backend server gets no work for as long as it lives: its clock began anew below that of the
@@ -132,15 +132,18 @@
 #[test]
 fn a_listing_tells_of_the_next_life_before_its_heartbeat_does() {
     let mut slots = open();
-    slots.listed(ms(START + 2), ms(START + 1), listing(SECOND, 7, &[]));
-    assert_eq!(slots.life().born_ms, Some(SECOND));
-    assert!(!slots.backend().takes_work, "nobody knows yet what it is");
-    slots.listed(ms(START + 4), ms(START + 3), listing(SECOND, 9, &[]));
+    slots.listing_received(ms(START + 2), ms(START + 1), listing(SECOND, 7, &[]));
+    assert_eq!(slots.server_incarnation().born_ms, Some(SECOND));
+    assert!(
+        !slots.advertised_backend().takes_work,
+        "nobody knows yet what it is"
+    );
+    slots.listing_received(ms(START + 4), ms(START + 3), listing(SECOND, 9, &[]));
     assert_eq!(
-        slots.announced(ms(START + 5), heartbeat(SECOND, 1, true)),
+        slots.heartbeat_received(ms(START + 5), heartbeat(SECOND, 1, true)),
         None
     );
-    assert!(slots.backend().takes_work);
+    assert!(slots.advertised_backend().takes_work);
 }
 
 /// A life that leaves gets work: its heartbeat had come, the question whether it is there had no answer,
@@ -149,14 +152,19 @@
 fn a_life_that_could_not_be_asked_is_remembered_as_leaving() {
     let mut slots = open();
     let check = announce(&mut slots, START + 1, heartbeat(SECOND, 2, false));
-    slots.checked(ms(START + 200), ms(START + 1), &check, Checked::Silent);
+    slots.check_answered(
+        ms(START + 200),
+        ms(START + 1),
+        &check,
+        CheckResult::NoAnswer,
+    );
     assert_eq!(
-        slots.announced(ms(START + 201), heartbeat(SECOND, 1, true)),
+        slots.heartbeat_received(ms(START + 201), heartbeat(SECOND, 1, true)),
         None
     );
-    slots.listed(ms(START + 203), ms(START + 202), listing(SECOND, 9, &[]));
-    slots.listed(ms(START + 205), ms(START + 204), listing(SECOND, 11, &[]));
-    assert!(!slots.backend().takes_work);
+    slots.listing_received(ms(START + 203), ms(START + 202), listing(SECOND, 9, &[]));
+    slots.listing_received(ms(START + 205), ms(START + 204), listing(SECOND, 11, &[]));
+    assert!(!slots.advertised_backend().takes_work);
 }
 
 /// The same, after two crashes in a row: the life in between is found by its listing while the one after it
@@ -165,16 +173,16 @@
 fn the_leave_of_the_life_after_next_is_remembered() {
     let mut slots = open();
     announce(&mut slots, START + 1, heartbeat(THIRD, 5, false));
-    slots.listed(ms(START + 2), ms(START + 1), listing(SECOND, 7, &[]));
-    assert_eq!(slots.life().born_ms, Some(SECOND));
-    slots.listed(ms(START + 4), ms(START + 3), listing(THIRD, 3, &[]));
-    assert_eq!(slots.life().born_ms, Some(THIRD));
-    slots.listed(ms(START + 6), ms(START + 5), listing(THIRD, 5, &[]));
+    slots.listing_received(ms(START + 2), ms(START + 1), listing(SECOND, 7, &[]));
+    assert_eq!(slots.server_incarnation().born_ms, Some(SECOND));
+    slots.listing_received(ms(START + 4), ms(START + 3), listing(THIRD, 3, &[]));
+    assert_eq!(slots.server_incarnation().born_ms, Some(THIRD));
+    slots.listing_received(ms(START + 6), ms(START + 5), listing(THIRD, 5, &[]));
     assert_eq!(
-        slots.announced(ms(START + 7), heartbeat(THIRD, 4, true)),
+        slots.heartbeat_received(ms(START + 7), heartbeat(THIRD, 4, true)),
         None
     );
-    assert!(!slots.backend().takes_work);
+    assert!(!slots.advertised_backend().takes_work);
 }
 
 /// A caller's approval runs twice. A start was on its way as the backend server crashed, and the next life
@@ -187,8 +195,8 @@
     order(&mut slots, START, &lost);
     take_up_second(&mut slots, START + 1, true);
     assert_eq!(ends(&mut slots, START + 1), [], "nobody knows yet");
-    slots.answered(ms(START + 2), &taken, StartAnswer::Accepted);
-    slots.listed(
+    slots.start_answered(ms(START + 2), &taken, StartAnswer::Accepted);
+    slots.listing_received(
         ms(START + 4),
         ms(START + 3),
         listing(SECOND, 9, std::slice::from_ref(&taken)),
@@ -196,7 +204,7 @@
     assert_eq!(ends(&mut slots, START + 4), [(lost, RunOutcome::Gone)]);
     let mut done = listing(SECOND, 30, &[]);
     done.ended.push((taken.clone(), RunOutcome::Done));
-    slots.listed(ms(START + 25), ms(START + 24), done);
+    slots.listing_received(ms(START + 25), ms(START + 24), done);
     assert_eq!(ends(&mut slots, START + 25), [(taken, RunOutcome::Done)]);
 }
 
@@ -205,13 +213,13 @@
 #[test]
 fn the_fence_rises_with_each_life() {
     let mut slots = open();
-    slots.start(
+    slots.start_requested(
         ms(START),
         &name(),
         true,
         besteffort::start(run("job", 0, 1), START),
     );
-    let late = slots.orders();
+    let late = slots.take_orders();
     let before = slots.recipient();
     assert!(matches!(&late[..], [Order::Start { to, .. }] if *to == before));
     take_up_second(&mut slots, START + 1, true);
@@ -224,19 +232,19 @@
 #[test]
 fn nothing_starts_under_the_lease_of_the_life_before() {
     let mut slots = open();
-    slots.renew(ms(START)).expect("its clock is known");
+    slots.renew_lease(ms(START)).expect("its clock is known");
     take_up_second(&mut slots, START + 1, true);
-    slots.listed(ms(START + 3), ms(START + 2), listing(SECOND, 9, &[]));
-    assert!(!slots.backend().takes_work);
+    slots.listing_received(ms(START + 3), ms(START + 2), listing(SECOND, 9, &[]));
+    assert!(!slots.advertised_backend().takes_work);
     let bounds = Bounds::default();
     let over = (bounds.longest_lease - bounds.lease).as_millis() as u64;
-    slots.listed(
+    slots.listing_received(
         ms(START + over),
         ms(START + over),
         listing(SECOND, over, &[]),
     );
-    assert!(!slots.backend().takes_work, "clocks may be slow");
+    assert!(!slots.advertised_backend().takes_work, "clocks may be slow");
     let over = START + over + 100;
-    slots.listed(ms(over), ms(over), listing(SECOND, over, &[]));
-    assert!(slots.backend().takes_work);
+    slots.listing_received(ms(over), ms(over), listing(SECOND, over, &[]));
+    assert!(slots.advertised_backend().takes_work);
 }
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -15,7 +15,7 @@
     AgentMessage, Backend, EntryIncarnation, Hello, Room, Run, RunOutcome, Start, WaitingWork,
 };
 use lovagemill::decide::besteffort::policy::Policy;
-use lovagemill::decide::besteffort::slots::{Checked, Listing, Slots, StartAnswer};
+use lovagemill::decide::besteffort::slots::{CheckResult, Listing, Slots, StartAnswer};
 use lovagemill::platform::announce;
 use lovagemill::wire::http::{self, Call};
 use rand::rngs::SmallRng;
@@ -49,9 +49,9 @@
         let calls = Calls::default();
         let cfg = agent::Config {
             name: "agent".into(),
-            life: 1,
+            incarnation: 1,
             failure_domain: "domain".into(),
-            links: ([127, 0, 0, 1], 0).into(),
+            link_addr: ([127, 0, 0, 1], 0).into(),
             bounds: Bounds::default(),
         };
         let agent: Agent = agent::bind(cfg, calls.server()).await.expect("a free port");
@@ -71,7 +71,10 @@
                 "capacity": {"cpu": cpu, "mem_mb": mem, "gpu": gpu}});
             assert_eq!(say(addr, beat.to_string()).await, 200, "{beat}");
             if seq == 1 {
-                support::until("the life is known", || agent.life().id == "life").await;
+                support::until("the life is known", || {
+                    agent.server_incarnation().id == "life"
+                })
+                .await;
             }
             let known = agent.backend();
             let size = Room {
@@ -105,13 +108,13 @@
 /// An agent of a backend server with four places, and two entries that are heard.
 fn open() -> (Slots, [EntryIncarnation; 2]) {
     let mut slots = Slots::open(Bounds::default());
-    let check = slots.announced(ms(START), heartbeat("life"));
-    let there = Checked::There(listed_at(START, &[]));
-    assert!(slots.checked(ms(START), ms(START), &check.expect("a new life"), there));
+    let check = slots.heartbeat_received(ms(START), heartbeat("life"));
+    let there = CheckResult::Answered(listed_at(START, &[]));
+    assert!(slots.check_answered(ms(START), ms(START), &check.expect("a new life"), there));
     let names = [entry("a"), entry("b")];
     for name in &names {
-        slots.entry_up(ms(START), name);
-        slots.heard(ms(START), name, START);
+        slots.entry_connected(ms(START), name);
+        slots.message_received(ms(START), name, START);
     }
     (slots, names)
 }
@@ -120,7 +123,7 @@
     let mut heartbeat = heartbeat("life");
     heartbeat.number = number;
     heartbeat.backend.size = size(cpu);
-    assert_eq!(slots.announced(ms(at), heartbeat), None);
+    assert_eq!(slots.heartbeat_received(ms(at), heartbeat), None);
 }
 
 fn begin(slots: &mut Slots, name: &EntryIncarnation, n: u32) -> Run {
@@ -129,8 +132,8 @@
         patience_ms: 60_000,
         ..besteffort::start(run.clone(), START)
     };
-    slots.start(ms(START), name, true, start);
-    slots.answered(ms(START), &run, StartAnswer::Accepted);
+    slots.start_requested(ms(START), name, true, start);
+    slots.start_answered(ms(START), &run, StartAnswer::Accepted);
     run
 }
 
@@ -153,7 +156,7 @@
         "what runs counts until it has ended"
     );
 
-    slots.listed(
+    slots.listing_received(
         ms(START + 20),
         ms(START + 20),
         listed_at(START + 20, &runs[..1]),
@@ -165,10 +168,10 @@
         need: NEED,
         tasks: 2,
     };
-    slots.waits(ms(START + 20), &b, START, Some(wants));
-    assert_eq!(slots.line(&b, ms(START + 20)).lent.cpu, 2_000);
+    slots.update_wants(ms(START + 20), &b, START, Some(wants));
+    assert_eq!(slots.next_message(&b, ms(START + 20)).lent.cpu, 2_000);
     resize(&mut slots, START + 21, 4, 0);
-    let line = slots.line(&a, ms(START + 21));
+    let line = slots.next_message(&a, ms(START + 21));
     assert_eq!(
         (line.free.cpu, line.lent.cpu),
         (-1_000, 0),
@@ -182,7 +185,7 @@
     let (mut slots, [a, _]) = open();
     resize(&mut slots, START + 1, 2, 0);
     let run = besteffort::run("job", 0, 1);
-    slots.start(
+    slots.start_requested(
         ms(START + 2),
         &a,
         true,
@@ -194,10 +197,10 @@
         "no room at all"
     );
     resize(&mut slots, START + 3, 3, 4_000);
-    assert_eq!(slots.line(&a, ms(START + 3)).free.cpu, 4_000);
+    assert_eq!(slots.next_message(&a, ms(START + 3)).free.cpu, 4_000);
     let run = besteffort::run("job", 1, 1);
-    slots.start(ms(START + 3), &a, true, besteffort::start(run, START));
-    assert_eq!(slots.orders().len(), 1);
+    slots.start_requested(ms(START + 3), &a, true, besteffort::start(run, START));
+    assert_eq!(slots.take_orders().len(), 1);
 }
 
 fn ask(job: &str, cpu: i64) -> Submission {
--- a/tests/besteffort_sim/world.rs
+++ b/tests/besteffort_sim/world.rs
@@ -14,7 +14,7 @@
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::decide::besteffort::message::{Crash, Heartbeat, Run};
 use lovagemill::decide::besteffort::slots::{
-    Check, Checked, Listing, Order, Recipient, Slots, StartAnswer,
+    Check, CheckResult, Listing, Order, Recipient, Slots, StartAnswer,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -167,7 +167,7 @@
     Beat(usize),
     Announced(usize, Heartbeat),
     /// The agent, its life, what it asked a life that had announced itself, when, and the answer.
-    Checked(usize, u64, Check, Ms, Checked),
+    Checked(usize, u64, Check, Ms, CheckResult),
     Submit(usize),
     CallerGone(usize, u64),
     Left(usize, usize),
@@ -266,7 +266,7 @@
     pub fn idle(mut self) -> Option<String> {
         self.run();
         let idle = self.agents.iter().find(|agent| {
-            let known = agent.slots.backend();
+            let known = agent.slots.advertised_backend();
             let knows = known.incarnation.id == agent.server.instance()
                 && known.incarnation.born_ms == agent.server.born_ms();
             let serves = known.takes_work && knows;
@@ -275,7 +275,7 @@
         idle.map(|agent| {
             format!(
                 "{:?}, not {}",
-                agent.slots.backend(),
+                agent.slots.advertised_backend(),
                 agent.server.instance()
             )
         })
@@ -387,7 +387,7 @@
             Event::Started(a, life, run, answer) => {
                 if self.agents[a].process.life == life {
                     let now = self.clock(self.agents[a].process);
-                    self.agents[a].slots.answered(now, &run, answer);
+                    self.agents[a].slots.start_answered(now, &run, answer);
                     self.flush_agent(a);
                 }
             }
--- a/tests/besteffort_sim/world/agents.rs
+++ b/tests/besteffort_sim/world/agents.rs
@@ -3,7 +3,7 @@
 use lovagemill::decide::besteffort::lease;
 use lovagemill::decide::besteffort::message::{Backend, Heartbeat, Room, ServerIncarnation};
 use lovagemill::decide::besteffort::slots::{
-    Check, Checked, Isolation, Listing, Order, Recipient, Slots, StartAnswer,
+    Check, CheckResult, Isolation, Listing, Order, Recipient, Slots, StartAnswer,
 };
 use rand::Rng;
 
@@ -26,7 +26,7 @@
     pub(super) fn new_agent(&self, server: Server) -> Agent {
         let mut slots = Slots::open(self.guards.bounds());
         if !self.guards.isolates {
-            slots.isolate(Isolation::Together);
+            slots.set_isolation(Isolation::Together);
         }
         Agent {
             process: Process::default(),
@@ -75,16 +75,16 @@
         // One that is late may come in after the next.
         let delay = self.rng.random_range(0..if late { 300 } else { 3 });
         let agent = &mut self.agents[a];
-        let until = agent.clean.then(|| agent.slots.renew(now)).flatten();
+        let until = agent.clean.then(|| agent.slots.renew_lease(now)).flatten();
         if lost {
             return;
         }
         let (life, at) = (agent.process.life, self.now);
         let to = agent.slots.recipient();
         let token = self.guards.token(life, &to);
-        let acknowledged = agent.slots.acknowledged();
-        let id = &to.life.id;
-        agent.server.is_known |= to.life == backend(&agent.server).incarnation;
+        let acknowledged = agent.slots.acknowledged_end();
+        let id = &to.incarnation.id;
+        agent.server.is_known |= to.incarnation == backend(&agent.server).incarnation;
         let listing = agent.server.list(at, id, token, until, acknowledged);
         let sent = now.as_millis() as u64;
         self.at(at + delay, Event::Listed(a, life, to, sent, listing));
@@ -106,10 +106,10 @@
         match answer {
             Ok(listing) => {
                 agent.clean |= listing.running.is_empty();
-                agent.slots.listed(now, ms(sent), listing);
+                agent.slots.listing_received(now, ms(sent), listing);
             }
-            Err(NoAnswer::AnotherLife) => agent.slots.another_life(now),
-            Err(NoAnswer::Refused) => agent.slots.refused(now, to),
+            Err(NoAnswer::AnotherLife) => agent.slots.another_incarnation_answered(now),
+            Err(NoAnswer::Refused) => agent.slots.connection_refused(now, to),
             Err(NoAnswer::OldToken) => {}
         }
         self.flush_agent(a);
@@ -124,7 +124,7 @@
         if is_current && !heartbeat.backend.takes_work {
             agent.server.leave_heard.get_or_insert(self.now);
         }
-        let check = agent.slots.announced(now, heartbeat);
+        let check = agent.slots.heartbeat_received(now, heartbeat);
         self.flush_agent(a);
         let Some(check) = check else {
             return;
@@ -132,20 +132,20 @@
         let agent = &mut self.agents[a];
         let (life, sent) = (agent.process.life, now.as_millis() as u64);
         let token = self.guards.token(life, &check.to);
-        let id = &check.to.life.id;
+        let id = &check.to.incarnation.id;
         let answer = agent.server.list(self.now, id, token, None, 0);
         let (checked, delay) = match answer {
-            _ if lost => (Checked::Silent, 200),
-            Ok(listing) => (Checked::There(listing), delay),
+            _ if lost => (CheckResult::NoAnswer, 200),
+            Ok(listing) => (CheckResult::Answered(listing), delay),
             Err(NoAnswer::AnotherLife) if !self.guards.checks_life => {
                 let believed = Listing {
-                    born_ms: check.to.life.born_ms,
+                    born_ms: check.to.incarnation.born_ms,
                     ..Listing::default()
                 };
-                (Checked::There(believed), delay)
+                (CheckResult::Answered(believed), delay)
             }
-            Err(NoAnswer::AnotherLife) => (Checked::AnotherLife, delay),
-            Err(NoAnswer::OldToken | NoAnswer::Refused) => (Checked::Silent, delay),
+            Err(NoAnswer::AnotherLife) => (CheckResult::AnotherIncarnation, delay),
+            Err(NoAnswer::OldToken | NoAnswer::Refused) => (CheckResult::NoAnswer, delay),
         };
         let event = Event::Checked(a, life, check, sent, checked);
         self.at(self.now + delay, event);
@@ -157,15 +157,16 @@
         life: u64,
         check: &Check,
         sent: Ms,
-        checked: Checked,
+        checked: CheckResult,
     ) {
         let now = self.clock(self.agents[a].process);
         let agent = &mut self.agents[a];
         if agent.process.life != life {
             return;
         }
-        let is_idle = matches!(&checked, Checked::There(listing) if listing.running.is_empty());
-        let known = agent.slots.checked(now, ms(sent), check, checked);
+        let is_idle =
+            matches!(&checked, CheckResult::Answered(listing) if listing.running.is_empty());
+        let known = agent.slots.check_answered(now, ms(sent), check, checked);
         agent.clean |= known && is_idle;
         self.flush_agent(a);
     }
@@ -189,7 +190,7 @@
 
     pub(super) fn flush_agent(&mut self, a: usize) {
         let life = self.agents[a].process.life;
-        for order in self.agents[a].slots.orders() {
+        for order in self.agents[a].slots.take_orders() {
             let answered = !self.is_unanswered();
             let late = self.rng.random_range(2_000..12_000);
             let delay = if answered {
@@ -211,7 +212,7 @@
             let Some(name) = self.entry_name(e, a) else {
                 continue;
             };
-            if self.agents[a].slots.has_news(&name) {
+            if self.agents[a].slots.has_unsent(&name) {
                 self.agent_says(e, a, None);
             }
         }
@@ -223,7 +224,7 @@
         let crashes_after = self.rng.random_range(1..80).min(work - 1);
         let guards = self.guards;
         let id_of = |to: &Recipient| match guards.names_life {
-            true => to.life.id.to_string(),
+            true => to.incarnation.id.to_string(),
             false => String::new(),
         };
         let agent = &mut self.agents[a];
@@ -237,11 +238,17 @@
             return;
         }
         match order {
-            Order::Start { to, run, until, .. } => {
+            Order::Start {
+                to,
+                run,
+                lease_until_ms,
+                ..
+            } => {
                 let token = guards.token(life, &to);
-                let answer = agent
-                    .server
-                    .start(self.now, &id_of(&to), token, &run, until, work);
+                let answer =
+                    agent
+                        .server
+                        .start(self.now, &id_of(&to), token, &run, lease_until_ms, work);
                 let heard = agent.server.leave_heard;
                 let too_late = heard.is_some_and(|heard| self.now > heard + DRAIN);
                 if answer == StartAnswer::Accepted {
--- a/tests/besteffort_sim/world/links.rs
+++ b/tests/besteffort_sim/world/links.rs
@@ -74,7 +74,7 @@
         self.links.insert((e, a), link);
         let name = self.entry_name(e, a).expect("just opened");
         let now = self.clock(self.agents[a].process);
-        let mut hello = self.agents[a].slots.entry_up(now, &name);
+        let mut hello = self.agents[a].slots.entry_connected(now, &name);
         hello.agent = agent_name(a).into();
         hello.incarnation = self.agents[a].process.life;
         self.agent_says(e, a, Some(hello));
@@ -91,8 +91,8 @@
         };
         let now = self.clock(self.agents[a].process);
         let agent = &mut self.agents[a];
-        let mut line: AgentMessage = agent.slots.line(&name, now);
-        line.backend = Some(agent.slots.backend());
+        let mut line: AgentMessage = agent.slots.next_message(&name, now);
+        line.backend = Some(agent.slots.advertised_backend());
         if !self.guards.tells_crashes {
             line.crashes.clear();
         }
@@ -143,15 +143,15 @@
                 link.heard.0 = self.now;
                 let name = name.expect("the agent's side is open");
                 let slots = &mut self.agents[a].slots;
-                let fresh = slots.heard(now_agent, &name, line.seen_ms);
+                let fresh = slots.message_received(now_agent, &name, line.seen_ms);
                 for run in &line.stops {
                     slots.withdraw(now_agent, &name, run);
                 }
                 for start in line.starts {
                     link.taken += 1;
-                    slots.start(now_agent, &name, fresh, start);
+                    slots.start_requested(now_agent, &name, fresh, start);
                 }
-                slots.waits(now_agent, &name, line.seen_ms, line.waiting);
+                slots.update_wants(now_agent, &name, line.seen_ms, line.waiting);
                 self.flush_agent(a);
             }
             Line::ToEntry(line) if link.entry_open => {
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -9,7 +9,7 @@
     EntryIncarnation, Room, Run, RunOutcome, ServerIncarnation, Start,
 };
 use lovagemill::decide::besteffort::slots::{
-    Checked, Listing, Order, Recipient, Slots, StartAnswer,
+    CheckResult, Listing, Order, Recipient, Slots, StartAnswer,
 };
 
 use support::besteffort::{self, backend, heartbeat};
@@ -46,7 +46,7 @@
 
 fn stop(run: Run) -> Order {
     let to = Recipient {
-        life: ServerIncarnation::with_id("life"),
+        incarnation: ServerIncarnation::with_id("life"),
         fence: 1,
     };
     Order::Stop { to, run }
@@ -62,26 +62,26 @@
 
 /// A life announces itself, and is there when it is asked.
 fn take_up(slots: &mut Slots, at: u64, life: &str) {
-    let check = slots.announced(ms(at), heartbeat(life));
+    let check = slots.heartbeat_received(ms(at), heartbeat(life));
     let check = check.expect("a new life is checked");
-    let there = Checked::There(listing(at, &[]));
-    assert!(slots.checked(ms(at), ms(at), &check, there));
+    let there = CheckResult::Answered(listing(at, &[]));
+    assert!(slots.check_answered(ms(at), ms(at), &check, there));
 }
 
 /// An agent with a backend server that was heard, and an entry that has connected.
 fn open() -> Slots {
     let mut slots = Slots::open(Bounds::default());
     take_up(&mut slots, START, "life");
-    slots.entry_up(ms(START), &entry(1));
+    slots.entry_connected(ms(START), &entry(1));
     slots
 }
 
 /// Starts a run that the backend server accepts at once.
 fn begin(slots: &mut Slots, at: u64, run: Run) {
-    slots.heard(ms(at), &entry(1), at);
-    slots.start(ms(at), &entry(1), true, start(run.clone(), at));
-    assert!(matches!(&slots.orders()[..], [Order::Start { run: begun, .. }] if *begun == run));
-    slots.answered(ms(at), &run, StartAnswer::Accepted);
+    slots.message_received(ms(at), &entry(1), at);
+    slots.start_requested(ms(at), &entry(1), true, start(run.clone(), at));
+    assert!(matches!(&slots.take_orders()[..], [Order::Start { run: begun, .. }] if *begun == run));
+    slots.start_answered(ms(at), &run, StartAnswer::Accepted);
 }
 
 fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, RunOutcome)> {
@@ -94,8 +94,8 @@
 #[test]
 fn a_start_on_its_way_has_a_lease() {
     let mut slots = open();
-    slots.heard(ms(START), &entry(1), START);
-    slots.start(ms(START), &entry(1), true, start(run(0, 1), START));
+    slots.message_received(ms(START), &entry(1), START);
+    slots.start_requested(ms(START), &entry(1), true, start(run(0, 1), START));
     slots.tick(ms(START + 1));
     assert_eq!(ends(&mut slots, START + 1), []);
     assert!(slots.is_working());
@@ -110,14 +110,20 @@
     begin(&mut slots, START, run(0, 1));
     let silent = START + Bounds::default().silence.as_millis() as u64;
     slots.tick(ms(silent));
-    assert_eq!(slots.orders(), [stop(run(0, 1))]);
-    slots.listed(ms(silent), ms(silent), listing(silent, &[run(0, 1)]));
-    assert!(slots.renew(ms(silent)).is_some(), "the stop may still work");
+    assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
+    slots.listing_received(ms(silent), ms(silent), listing(silent, &[run(0, 1)]));
+    assert!(
+        slots.renew_lease(ms(silent)).is_some(),
+        "the stop may still work"
+    );
     let overdue = silent + lease::DELAY_MARGIN.as_millis() as u64 + 1;
-    slots.listed(ms(overdue), ms(overdue), listing(overdue, &[run(0, 1)]));
-    assert_eq!(slots.renew(ms(overdue)), None);
+    slots.listing_received(ms(overdue), ms(overdue), listing(overdue, &[run(0, 1)]));
+    assert_eq!(slots.renew_lease(ms(overdue)), None);
     slots.stop_answered(ms(overdue), &run(0, 1));
-    assert!(slots.renew(ms(overdue)).is_some(), "stopped after all");
+    assert!(
+        slots.renew_lease(ms(overdue)).is_some(),
+        "stopped after all"
+    );
 }
 
 /// Two runs of one task. An agent is frozen while its entry gives it up, wakes before the lease has
@@ -127,14 +133,14 @@
 fn an_agent_that_wakes_late_doesn_t_renew_what_must_end() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
-    slots.listed(
+    slots.listing_received(
         ms(START + 100),
         ms(START + 100),
         listing(START + 100, &[run(0, 1)]),
     );
     let silence = Bounds::default().silence.as_millis() as u64;
     let woken = START + silence + lease::DELAY_MARGIN.as_millis() as u64 + 1;
-    assert_eq!(slots.renew(ms(woken)), None);
+    assert_eq!(slots.renew_lease(ms(woken)), None);
 }
 
 /// A stop that nobody answers is sent again, and soon: an order may be carried out seconds late.
@@ -143,12 +149,12 @@
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     slots.withdraw(ms(START + 10), &entry(1), &run(0, 1));
-    assert_eq!(slots.orders(), [stop(run(0, 1))]);
+    assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
     slots.tick(ms(START + 20));
-    assert_eq!(slots.orders(), []);
-    slots.heard(ms(START + 70), &entry(1), START + 70);
+    assert_eq!(slots.take_orders(), []);
+    slots.message_received(ms(START + 70), &entry(1), START + 70);
     slots.tick(ms(START + 70));
-    assert_eq!(slots.orders(), [stop(run(0, 1))]);
+    assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
 }
 
 /// A task is said not to run, and runs: its start had no answer and is carried out seconds later.
@@ -156,21 +162,21 @@
 #[test]
 fn a_start_without_an_answer_is_closed_before_it_is_given_up() {
     let mut slots = open();
-    slots.heard(ms(START), &entry(1), START);
-    slots.start(ms(START), &entry(1), true, start(run(0, 1), START));
-    slots.orders();
-    slots.answered(ms(START + 150), &run(0, 1), StartAnswer::Unknown);
-    assert_eq!(slots.orders(), [stop(run(0, 1))]);
-    slots.listed(ms(START + 160), ms(START + 155), listing(START + 160, &[]));
+    slots.message_received(ms(START), &entry(1), START);
+    slots.start_requested(ms(START), &entry(1), true, start(run(0, 1), START));
+    slots.take_orders();
+    slots.start_answered(ms(START + 150), &run(0, 1), StartAnswer::Unknown);
+    assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
+    slots.listing_received(ms(START + 160), ms(START + 155), listing(START + 160, &[]));
     assert_eq!(ends(&mut slots, START + 160), [], "not closed yet");
     slots.stop_answered(ms(START + 170), &run(0, 1));
-    slots.listed(ms(START + 175), ms(START + 165), listing(START + 175, &[]));
+    slots.listing_received(ms(START + 175), ms(START + 165), listing(START + 175, &[]));
     assert_eq!(
         ends(&mut slots, START + 175),
         [],
         "the listing is older than the stop"
     );
-    slots.listed(ms(START + 190), ms(START + 180), listing(START + 190, &[]));
+    slots.listing_received(ms(START + 190), ms(START + 180), listing(START + 190, &[]));
     assert_eq!(
         ends(&mut slots, START + 190),
         [(run(0, 1), RunOutcome::Gone)]
@@ -184,17 +190,17 @@
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     begin(&mut slots, START, run(1, 2));
-    slots.start(ms(START), &entry(1), true, start(run(2, 3), START));
-    assert_eq!(slots.orders(), [], "no room");
+    slots.start_requested(ms(START), &entry(1), true, start(run(2, 3), START));
+    assert_eq!(slots.take_orders(), [], "no room");
     slots.withdraw(ms(START + 5), &entry(1), &run(0, 1));
-    slots.orders();
+    slots.take_orders();
     slots.stop_answered(ms(START + 6), &run(0, 1));
-    assert_eq!(slots.orders(), [], "stopped isn't ended");
+    assert_eq!(slots.take_orders(), [], "stopped isn't ended");
     let mut ended = listing(START + 8, &[run(1, 2)]);
     ended.ended.push((run(0, 1), RunOutcome::Gone));
-    slots.listed(ms(START + 8), ms(START + 7), ended);
+    slots.listing_received(ms(START + 8), ms(START + 7), ended);
     assert!(
-        matches!(&slots.orders()[..], [Order::Start { run: begun, .. }] if *begun == run(2, 3))
+        matches!(&slots.take_orders()[..], [Order::Start { run: begun, .. }] if *begun == run(2, 3))
     );
 }
 
@@ -205,12 +211,12 @@
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     begin(&mut slots, START, run(1, 2));
-    slots.start(ms(START), &entry(1), true, start(run(2, 3), START));
+    slots.start_requested(ms(START), &entry(1), true, start(run(2, 3), START));
     let mut leaving = heartbeat("life");
     leaving.backend.takes_work = false;
-    assert_eq!(slots.announced(ms(START + 5), leaving), None);
-    slots.start(ms(START + 6), &entry(1), true, start(run(3, 4), START));
-    assert_eq!(slots.orders(), []);
+    assert_eq!(slots.heartbeat_received(ms(START + 5), leaving), None);
+    slots.start_requested(ms(START + 6), &entry(1), true, start(run(3, 4), START));
+    assert_eq!(slots.take_orders(), []);
     let bounced = [
         (run(2, 3), RunOutcome::NotRun),
         (run(3, 4), RunOutcome::NotRun),
@@ -224,8 +230,11 @@
 fn an_earlier_life_doesn_t_come_back() {
     let mut slots = open();
     take_up(&mut slots, START + 1, "next");
-    assert_eq!(slots.announced(ms(START + 2), heartbeat("life")), None);
-    assert_eq!(slots.life().id, "next");
+    assert_eq!(
+        slots.heartbeat_received(ms(START + 2), heartbeat("life")),
+        None
+    );
+    assert_eq!(slots.server_incarnation().id, "next");
 }
 
 /// A caller's approval runs twice, and a healthy backend server gets no work for good. It had crashed
@@ -235,16 +244,24 @@
 fn a_life_is_believed_only_once_it_has_answered() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
-    for (at, checked) in [(1, Checked::Silent), (2, Checked::AnotherLife)] {
+    for (at, checked) in [
+        (1, CheckResult::NoAnswer),
+        (2, CheckResult::AnotherIncarnation),
+    ] {
         let at = ms(START + at);
-        let check = slots.announced(at, heartbeat("middle")).expect("unknown");
-        assert!(!slots.checked(at, at, &check, checked));
+        let check = slots
+            .heartbeat_received(at, heartbeat("middle"))
+            .expect("unknown");
+        assert!(!slots.check_answered(at, at, &check, checked));
         assert_eq!(
-            (slots.life().id.as_str(), slots.is_working()),
+            (slots.server_incarnation().id.as_str(), slots.is_working()),
             ("life", true)
         );
     }
-    assert_eq!(slots.announced(ms(START + 3), heartbeat("middle")), None);
+    assert_eq!(
+        slots.heartbeat_received(ms(START + 3), heartbeat("middle")),
+        None
+    );
     assert_eq!(ends(&mut slots, START + 3), []);
 }
 
@@ -253,10 +270,10 @@
 #[test]
 fn an_order_names_the_life_that_it_was_given_for() {
     let mut slots = open();
-    slots.start(ms(START), &entry(1), true, start(run(0, 1), START));
+    slots.start_requested(ms(START), &entry(1), true, start(run(0, 1), START));
     take_up(&mut slots, START + 1, "next");
-    let orders = slots.orders();
-    assert!(matches!(&orders[..], [Order::Start { to, .. }] if to.life.id == "life"));
+    let orders = slots.take_orders();
+    assert!(matches!(&orders[..], [Order::Start { to, .. }] if to.incarnation.id == "life"));
     assert_eq!(ends(&mut slots, START + 1), [(run(0, 1), RunOutcome::Gone)]);
 }
 
@@ -266,10 +283,10 @@
 #[test]
 fn no_lease_is_asked_for_before_a_life_is_known() {
     let mut slots = Slots::open(Bounds::default());
-    slots.listed(ms(START), ms(START), listing(START, &[]));
-    assert_eq!(slots.renew(ms(START + 1)), None);
+    slots.listing_received(ms(START), ms(START), listing(START, &[]));
+    assert_eq!(slots.renew_lease(ms(START + 1)), None);
     take_up(&mut slots, START + 2, "life");
-    assert!(slots.renew(ms(START + 3)).is_some());
+    assert!(slots.renew_lease(ms(START + 3)).is_some());
 }
 
 /// On-call engineers read that a run was stopped which nobody had asked for, though its job is
@@ -281,17 +298,17 @@
     begin(&mut slots, START, run(0, 1));
     let mut later = listing(START + 20, &[]);
     later.ended.push((run(0, 1), RunOutcome::Done));
-    slots.listed(ms(START + 21), ms(START + 5), later);
+    slots.listing_received(ms(START + 21), ms(START + 5), later);
     assert_eq!(
         ends(&mut slots, START + 21),
         [(run(0, 1), RunOutcome::Done)]
     );
     let earlier = listing(START + 10, &[run(0, 1)]);
-    slots.listed(ms(START + 22), ms(START + 4), earlier);
-    assert_eq!(slots.orders(), []);
+    slots.listing_received(ms(START + 22), ms(START + 4), earlier);
+    assert_eq!(slots.take_orders(), []);
     let still = listing(START + 30, &[run(0, 1)]);
-    slots.listed(ms(START + 31), ms(START + 25), still);
-    assert_eq!(slots.orders(), [stop(run(0, 1))], "it does run on");
+    slots.listing_received(ms(START + 31), ms(START + 25), still);
+    assert_eq!(slots.take_orders(), [stop(run(0, 1))], "it does run on");
 }
 
 /// New work reaches a backend server that has left. It said so while the agent, which had just
@@ -300,11 +317,13 @@
 fn a_life_that_leaves_while_it_is_checked_gets_nothing() {
     let mut slots = Slots::open(Bounds::default());
     let at = ms(START);
-    let check = slots.announced(at, heartbeat("life")).expect("unknown");
-    slots.left(at, &ServerIncarnation::with_id("life"));
-    let there = Checked::There(listing(START, &[]));
-    slots.checked(at, at, &check, there);
-    assert!(!slots.backend().takes_work);
+    let check = slots
+        .heartbeat_received(at, heartbeat("life"))
+        .expect("unknown");
+    slots.server_left(at, &ServerIncarnation::with_id("life"));
+    let there = CheckResult::Answered(listing(START, &[]));
+    slots.check_answered(at, at, &check, there);
+    assert!(!slots.advertised_backend().takes_work);
 }
 
 /// The answer to a check comes after the life that gave it has died and the next was taken up.
@@ -312,18 +331,20 @@
 fn a_late_answer_to_a_check_brings_nothing_back() {
     let mut slots = open();
     let at = ms(START + 1);
-    let late = slots.announced(at, heartbeat("middle")).expect("unknown");
+    let late = slots
+        .heartbeat_received(at, heartbeat("middle"))
+        .expect("unknown");
     assert_eq!(
-        slots.announced(at, heartbeat("middle")),
+        slots.heartbeat_received(at, heartbeat("middle")),
         None,
         "one at a time"
     );
     take_up(&mut slots, START + 2, "next");
-    let again = slots.announced(ms(START + 3), heartbeat("middle"));
+    let again = slots.heartbeat_received(ms(START + 3), heartbeat("middle"));
     assert_ne!(again.expect("unknown").number, late.number);
-    let there = || Checked::There(listing(START + 4, &[]));
-    assert!(!slots.checked(ms(START + 4), at, &late, there()));
-    assert_eq!(slots.life().id, "next");
+    let there = || CheckResult::Answered(listing(START + 4, &[]));
+    assert!(!slots.check_answered(ms(START + 4), at, &late, there()));
+    assert_eq!(slots.server_incarnation().id, "next");
 }
 
 /// Nothing runs past its caller's patience: the deadline is kept here, on the agent's clock, also
@@ -336,13 +357,13 @@
         deadline_ms: deadline,
         ..start(run(0, 1), START)
     };
-    slots.start(ms(START), &entry(1), true, start);
-    slots.orders();
-    slots.answered(ms(START), &run(0, 1), StartAnswer::Accepted);
+    slots.start_requested(ms(START), &entry(1), true, start);
+    slots.take_orders();
+    slots.start_answered(ms(START), &run(0, 1), StartAnswer::Accepted);
     slots.tick(ms(deadline - 1));
-    assert_eq!(slots.orders(), []);
+    assert_eq!(slots.take_orders(), []);
     slots.tick(ms(deadline));
-    assert_eq!(slots.orders(), [stop(run(0, 1))]);
+    assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
 }
 
 /// The bounds must leave a resubmission nothing to meet: silence, then the lease of an agent that
@@ -358,16 +379,21 @@
 fn a_word_of_another_writer_pushes_out_no_living_one() {
     let mut slots = Slots::open(Bounds::default());
     let living = slots
-        .announced(ms(START), heartbeat("living"))
+        .heartbeat_received(ms(START), heartbeat("living"))
         .expect("asked");
     let other = slots
-        .announced(ms(START), heartbeat("nobody"))
+        .heartbeat_received(ms(START), heartbeat("nobody"))
         .expect("asked");
-    assert!(!slots.checked(ms(START), ms(START), &other, Checked::AnotherLife));
-    let there = Checked::There(listing(START, &[]));
-    assert!(slots.checked(ms(START), ms(START), &living, there));
-    assert_eq!(slots.life().id, "living");
-    assert!(slots.backend().takes_work);
+    assert!(!slots.check_answered(
+        ms(START),
+        ms(START),
+        &other,
+        CheckResult::AnotherIncarnation
+    ));
+    let there = CheckResult::Answered(listing(START, &[]));
+    assert!(slots.check_answered(ms(START), ms(START), &living, there));
+    assert_eq!(slots.server_incarnation().id, "living");
+    assert!(slots.advertised_backend().takes_work);
 }
 
 /// The same worker is said to be of a service that nobody asks for, and stands idle for good.
@@ -376,8 +402,8 @@
     let mut slots = open();
     let mut other = heartbeat("life");
     other.backend.service = "nobody's".into();
-    assert!(slots.announced(ms(START + 1), other).is_none());
-    assert_eq!(slots.known(), &backend("life"));
+    assert!(slots.heartbeat_received(ms(START + 1), other).is_none());
+    assert_eq!(slots.announced_backend(), &backend("life"));
 }
 
 /// A caller submits its job again sooner than a run surely ends, and the task runs twice. A program that
--- a/tests/contract_users_platform.rs
+++ b/tests/contract_users_platform.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::Request;
-use lovagemill::besteffort::agent::{BackendServer, ListCall, NoListing};
+use lovagemill::besteffort::agent::{BackendServer, ListCall, ListingError};
 use lovagemill::decide::besteffort::message::{Run, RunOutcome, ServerIncarnation};
 use lovagemill::decide::besteffort::slots::{Recipient, StartAnswer};
 use lovagemill::mutex;
@@ -26,7 +26,7 @@
 /// Whom the orders of the tests are meant for.
 fn life() -> Recipient {
     Recipient {
-        life: ServerIncarnation::with_id("i-1"),
+        incarnation: ServerIncarnation::with_id("i-1"),
         fence: 1,
     }
 }
@@ -88,8 +88,14 @@
             ),
             (script(ServerAction::Answer, 400, ""), StartAnswer::Refused),
             (script(ServerAction::Answer, 421, ""), StartAnswer::Refused),
-            (script(ServerAction::Answer, 429, ""), StartAnswer::Unwell),
-            (script(ServerAction::Answer, 503, ""), StartAnswer::Unwell),
+            (
+                script(ServerAction::Answer, 429, ""),
+                StartAnswer::Unhealthy,
+            ),
+            (
+                script(ServerAction::Answer, 503, ""),
+                StartAnswer::Unhealthy,
+            ),
             (script(ServerAction::Answer, 500, ""), StartAnswer::Unknown),
             (script(ServerAction::Refuse, 0, ""), StartAnswer::Refused),
             (
@@ -164,7 +170,7 @@
             "finished":[[4,"00000000000000aa.0.0.1",6,"done",""],[5,"00000000000000aa.0.0.2",6,"lapsed",""]]}"#;
         let ask = || ListCall {
             to: life(),
-            until: Some(99),
+            lease_until_ms: Some(99),
             acknowledged: 0,
             wait: Duration::ZERO,
         };
@@ -178,14 +184,17 @@
             (vec![RunOutcome::Done, RunOutcome::Gone], 5)
         );
         let cases = [
-            (script(ServerAction::Answer, 200, "{}"), NoListing::Silent),
+            (
+                script(ServerAction::Answer, 200, "{}"),
+                ListingError::NoAnswer,
+            ),
             (
                 script(
                     ServerAction::Answer,
                     200,
                     r#"{"clock_ms":5,"born":"x","running":[],"finished":[]}"#,
                 ),
-                NoListing::Silent,
+                ListingError::NoAnswer,
             ),
             (
                 script(
@@ -193,18 +202,21 @@
                     200,
                     r#"{"clock_ms":5,"running":[],"finished":[["x"]]}"#,
                 ),
-                NoListing::Silent,
+                ListingError::NoAnswer,
             ),
             (
                 script(ServerAction::Answer, 409, r#"{"reason":"fence"}"#),
-                NoListing::Silent,
+                ListingError::NoAnswer,
             ),
             (
                 script(ServerAction::Answer, 421, ""),
-                NoListing::AnotherLife,
+                ListingError::AnotherIncarnation,
+            ),
+            (script(ServerAction::Refuse, 0, ""), ListingError::Refused),
+            (
+                script(ServerAction::CloseAfter, 0, ""),
+                ListingError::NoAnswer,
             ),
-            (script(ServerAction::Refuse, 0, ""), NoListing::Refused),
-            (script(ServerAction::CloseAfter, 0, ""), NoListing::Silent),
         ];
         for (script, expected) in cases {
             let shown = format!("{script:?}");
--- a/tests/formats_platform.rs
+++ b/tests/formats_platform.rs
@@ -28,7 +28,7 @@
 use lovagemill::decide::besteffort::evacuation::DomainState;
 use lovagemill::decide::besteffort::job::{NotRunReason, Outcome};
 use lovagemill::decide::besteffort::message::{AgentMessage, Backend, EntryMessage, RunOutcome};
-use lovagemill::decide::besteffort::slots::{PassedOver, StartAnswer};
+use lovagemill::decide::besteffort::slots::{StaleMessage, StartAnswer};
 use lovagemill::platform::directory::{AgentRow, CrashesRow};
 use lovagemill::platform::routes::{self, Class, Limits, Routes};
 use lovagemill::platform::submission::{self, Rejection};
@@ -231,16 +231,16 @@
     let start = [
         StartAnswer::Accepted,
         StartAnswer::Refused,
-        StartAnswer::Unwell,
+        StartAnswer::Unhealthy,
         StartAnswer::Unknown,
     ];
-    let passed_over = [PassedOver::Heartbeat, PassedOver::Listing];
+    let passed_over = [StaleMessage::Heartbeat, StaleMessage::Listing];
     let names = json!({
         "how": how.map(RunOutcome::name),
         "not_run": not_run.map(NotRunReason::name),
         "outcome": outcome.map(|outcome| outcome.name()),
         "start_answer": start.map(StartAnswer::name),
-        "passed_over": passed_over.map(PassedOver::name),
+        "passed_over": passed_over.map(StaleMessage::name),
     });
     assert_eq!(vec![names], lines("platform_names.jsonl"));
 }
--- a/tests/formats_platform/requests.rs
+++ b/tests/formats_platform/requests.rs
@@ -109,12 +109,12 @@
         let (addr, seen) = serve("platform_orders.jsonl").await;
         let worker = worker::open(addr);
         let to = || Recipient {
-            life: ServerIncarnation::with_id("i-1"),
+            incarnation: ServerIncarnation::with_id("i-1"),
             fence: 1,
         };
         let call = || ListCall {
             to: to(),
-            until: Some(914_345),
+            lease_until_ms: Some(914_345),
             acknowledged: 3,
             wait: Duration::from_millis(250),
         };
@@ -239,9 +239,9 @@
 async fn agent_beside(worker: &Worker) -> (Agent, SocketAddr) {
     let cfg = agent::Config {
         name: "side-1".into(),
-        life: 7001,
+        incarnation: 7001,
         failure_domain: "poa".into(),
-        links: standins::any_port(),
+        link_addr: standins::any_port(),
         bounds: Bounds::default(),
     };
     let agent = agent::bind(cfg, worker::open(worker.addr)).await;
@@ -269,7 +269,7 @@
         let client = http::open(64 * 1024);
         let steps = lines("platform_announcements.jsonl");
         // The first is checked with the backend server, which may take more than one try.
-        while agent.life().id.is_empty() {
+        while agent.server_incarnation().id.is_empty() {
             assert_eq!(announce(&client, addr, &steps[0]).await, 200);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -293,7 +293,7 @@
             let status = announce(&client, addr, step).await;
             assert_eq!(status, step["status"], "{step}");
             assert_eq!(known()["takes_work"], step["takes_work"], "{step}");
-            passed_over = agent.status().counts.passed_over;
+            passed_over = agent.status().counts.stale_messages;
         }
         assert_eq!(passed_over.into_values().collect::<Vec<_>>(), [1]);
     });
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use lovagemill::besteffort::agent::{self, Agent, NoListing};
+use lovagemill::besteffort::agent::{self, Agent, ListingError};
 use lovagemill::decide::besteffort::lease::Bounds;
 use lovagemill::platform::announce;
 use lovagemill::wire::http::{self, Call};
@@ -39,9 +39,9 @@
         let calls = Calls::default();
         let cfg = agent::Config {
             name: "agent".into(),
-            life: 1,
+            incarnation: 1,
             failure_domain: "domain".into(),
-            links: ([127, 0, 0, 1], 0).into(),
+            link_addr: ([127, 0, 0, 1], 0).into(),
             bounds: Bounds::default(),
         };
         let agent = agent::bind(cfg, calls.server()).await;
@@ -55,7 +55,10 @@
             client: http::open(1 << 20),
         };
         assert_eq!(listening.say("life", beat().to_string()).await, 200);
-        support::until("the life is known", || listening.agent.life().id == "life").await;
+        support::until("the life is known", || {
+            listening.agent.server_incarnation().id == "life"
+        })
+        .await;
         listening
     }
 
@@ -86,13 +89,13 @@
     loop {
         let (life, tx) = calls
             .next("a listing", |call| match call {
-                support::besteffort::Call::List(call, tx) => Ok((call.to.life.id, tx)),
+                support::besteffort::Call::List(call, tx) => Ok((call.to.incarnation.id, tx)),
                 other => Err(other),
             })
             .await;
         let listing = match life.as_str() {
             "" | "life" => Ok(listed(Vec::new(), Vec::new())),
-            _ => Err(NoListing::AnotherLife),
+            _ => Err(ListingError::AnotherIncarnation),
         };
         // The agent may have given the call up.
         let _ = tx.send(listing);
--- a/tests/support/besteffort.rs
+++ b/tests/support/besteffort.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time;
 
-use lovagemill::besteffort::agent::{Answer, BackendServer, ListCall, NoListing};
+use lovagemill::besteffort::agent::{Answer, BackendServer, ListCall, ListingError};
 use lovagemill::besteffort::line;
 use lovagemill::clock;
 use lovagemill::decide::besteffort::message::{
@@ -28,7 +28,7 @@
 /// One call of the agent that the test answers.
 pub enum Call {
     /// A listing, and the way to answer it.
-    List(ListCall, oneshot::Sender<Result<Listing, NoListing>>),
+    List(ListCall, oneshot::Sender<Result<Listing, ListingError>>),
     /// A start, and whom it is meant for.
     Start(Recipient, Run, oneshot::Sender<StartAnswer>),
     /// A stop, and whom it is meant for.
@@ -67,9 +67,9 @@
     }
 
     /// Waits for a listing of a life and returns the way to answer it.
-    pub async fn list(&self, life: &str) -> oneshot::Sender<Result<Listing, NoListing>> {
+    pub async fn list(&self, life: &str) -> oneshot::Sender<Result<Listing, ListingError>> {
         self.next("a listing", |call| match call {
-            Call::List(of, tx) if of.to.life.id == life => Ok(tx),
+            Call::List(of, tx) if of.to.incarnation.id == life => Ok(tx),
             other => Err(other),
         })
         .await
@@ -77,7 +77,7 @@
 
     /// Answers the next listing of a life. One that the agent has given up meanwhile doesn't count:
     /// its answer would reach nobody.
-    pub async fn answer_list(&self, life: &str, answer: Result<Listing, NoListing>) {
+    pub async fn answer_list(&self, life: &str, answer: Result<Listing, ListingError>) {
         loop {
             let tx = self.list(life).await;
             if tx.send(answer.clone()).is_ok() {
@@ -133,10 +133,10 @@
                 stop.push(Call::Stop(to, run, tx));
                 Box::pin(async move { rx.await.unwrap_or(false) })
             }),
-            list: Box::new(move |call| -> Answer<Result<Listing, NoListing>> {
+            list: Box::new(move |call| -> Answer<Result<Listing, ListingError>> {
                 let (tx, rx) = oneshot::channel();
                 list.push(Call::List(call, tx));
-                Box::pin(async move { rx.await.unwrap_or(Err(NoListing::Silent)) })
+                Box::pin(async move { rx.await.unwrap_or(Err(ListingError::NoAnswer)) })
             }),
         }
     }
@@ -167,7 +167,7 @@
     entry: &EntryIncarnation,
     now: time::Duration,
 ) -> Vec<(Run, RunOutcome)> {
-    let line = slots.line(entry, now);
+    let line = slots.next_message(entry, now);
     let ended = line.ended.into_iter();
     ended.map(|end| (end.run, end.outcome)).collect()
 }
