--- a/src/controller/config.rs
+++ b/src/controller/config.rs
@@ -1,6 +1,7 @@
-//! Keeps the configuration current: reads it when the watched rows or a message tell of a newer one.
+//! Keeps the configuration of a process current: reads the document from the table when the watched
+//! rows or a message show that there is a newer version.
 //!
-//! The entries' ownership loops watch the row with the newest version's number, and messages
+//! The entries' ownership loops watch the row that holds the newest version's number, and messages
 //! between entries carry the number too, so the document itself is read only when it has changed.
 //! A process that knows of a newer version and can't read the table asks its peers for the
 //! document. `docs/design/configuration.md` has the bounds.
@@ -19,24 +20,25 @@
 use crate::wire::platform::{self, Commit, Transaction, Write};
 use crate::wire::rows;
 
-/// Pause between reads that nothing asked for. Guards against a document that was written without
-/// its version's row: nobody is told of it, and this read finds it all the same.
+/// Pause between reads without a sign of a newer version. Guards against a document that was
+/// written without the row of its version: no process learns of it except by this read.
 pub const POLL_PAUSE: time::Duration = time::Duration::from_secs(60);
 
-/// Pause between reads before any document was found.
-const FIRST: time::Duration = time::Duration::from_millis(300);
+/// Pause between reads as long as the table holds no document.
+const NO_DOCUMENT_PAUSE: time::Duration = time::Duration::from_millis(300);
 
-/// Pauses while the table fails, growing from the first to the second with jitter.
+/// Shortest and longest pause between reads while the table fails; it grows with jitter.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(100);
 const MAX_PAUSE: time::Duration = time::Duration::from_secs(1);
 
-/// Pause before a change whose answer was lost is looked for again.
-const RESOLVE: time::Duration = time::Duration::from_millis(300);
+/// Pause between reads that look for a change whose answer was lost.
+const RESOLVE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
-/// Changes that are remembered with who made them.
-const MAX_CHANGES: usize = 32;
+/// How many of the latest changes the version's row lists, each with the random number of its
+/// writer.
+const MAX_KEPT_CHANGES: usize = 32;
 
-/// How often a change whose answer was lost is looked for.
+/// Number of reads that look for a change whose answer was lost.
 const RESOLVE_TRIES: u32 = 5;
 
 /// The configuration of one process; clones share it.
@@ -44,14 +46,15 @@
 pub struct Config {
     table: platform::Table,
     current: Arc<Mutex<config::Current>>,
-    news: Arc<Notify>,
+    /// Wakes the loop.
+    wake: Arc<Notify>,
 }
 
-/// What the loop reports.
+/// Callbacks of the loop.
 pub struct Events {
-    /// A version has come into force.
+    /// A newer version has come into force.
     pub changed: Box<dyn Fn(Arc<class::Versioned>) + Send + Sync>,
-    /// A newer version than the one given exists, and the table can't be read.
+    /// The table can't be read; the argument is the version in force, and a newer one may exist.
     pub behind: Box<dyn Fn(id::Version) + Send + Sync>,
 }
 
@@ -60,56 +63,58 @@
     Config {
         table,
         current: Arc::default(),
-        news: Arc::default(),
+        wake: Arc::default(),
     }
 }
 
 impl Config {
-    /// The configuration in force, or none before any was read.
+    /// Returns the configuration in force, or none before any was read.
     pub fn get(&self) -> Option<Arc<class::Versioned>> {
         self.lock().get()
     }
 
-    /// The version in force; 0 before any was read.
+    /// Returns the version in force, or 0 before any was read.
     pub fn version(&self) -> id::Version {
         self.lock().version()
     }
 
-    /// The newest version that this process has heard of.
+    /// Returns the newest version that this process knows to exist.
     pub fn newest_known(&self) -> id::Version {
         self.lock().newest_known()
     }
 
-    /// Notes a version that another process has in force or that a row tells of.
+    /// Notes that a version exists, by a message of another process or by the version's row; a
+    /// newer one makes the loop read the document.
     pub fn note_version(&self, version: id::Version) {
         let mut current = self.lock();
         current.hear(version);
         if current.is_behind() {
-            self.news.notify_one();
+            self.wake.notify_one();
         }
     }
 
-    /// Takes a whole configuration that another process has read.
+    /// Puts a document into force that another process has read, if it is newer than the current
+    /// one.
     pub fn accept_document(&self, offered: class::Versioned) {
         if self.lock().accept(offered) {
-            self.news.notify_one();
+            self.wake.notify_one();
         }
     }
 
-    /// Keeps the configuration current for ever.
+    /// Keeps the configuration current; never returns.
     pub async fn run(self, events: Events) {
         let mut backoff = backoff::open(MIN_PAUSE, MAX_PAUSE);
         let mut reported = 0;
         loop {
             let mut pause = POLL_PAUSE;
-            if self.wants_read(reported) {
+            if self.needs_read(reported) {
                 pause = match self.read().await {
                     Ok(found) => {
                         backoff.reset();
                         if found {
                             POLL_PAUSE
                         } else {
-                            FIRST
+                            NO_DOCUMENT_PAUSE
                         }
                     }
                     Err(e) => {
@@ -124,17 +129,18 @@
                 log::info!("configuration version {reported} is in force");
                 (events.changed)(config);
             }
-            let _ = tokio::time::timeout(pause, self.news.notified()).await;
+            let _ = tokio::time::timeout(pause, self.wake.notified()).await;
         }
     }
 
-    /// A document that came from a peer needs no read; everything else that wakes the loop does.
-    fn wants_read(&self, reported: id::Version) -> bool {
+    /// Tells whether the loop has to read the table after it woke up. It doesn't if a newer
+    /// document came from a peer and has still to be reported.
+    fn needs_read(&self, reported: id::Version) -> bool {
         let current = self.lock();
         current.is_behind() || current.version() == reported
     }
 
-    /// Reads the document and takes it over; tells whether there is one.
+    /// Reads the document and puts it into force if it is newer. Tells whether there is one.
     async fn read(&self) -> anyhow::Result<bool> {
         let row = (self.table.get)(rows::CONFIG.into()).await;
         let row = row.map_err(|e| anyhow!("{e:?}"))?;
@@ -154,8 +160,9 @@
     ///
     /// # Errors
     ///
-    /// Refuses a mistaken document, an outdated base, and a table that can't be reached. Where the
-    /// answer was lost, reading tells whether the change took effect.
+    /// Fails if the document has mistakes, if `base` isn't the newest version, or if the table
+    /// can't be reached. If the answer to the write was lost, reading the table shows whether the
+    /// change took effect; if it doesn't, the error says that this is unknown.
     pub async fn change(
         &self,
         base: id::Version,
@@ -165,27 +172,32 @@
         if !mistakes.is_empty() {
             return Err((code::Code::ConfigInvalid, mistakes));
         }
-        let plain = |code| (code, Vec::new());
+        let without_mistakes = |code| (code, Vec::new());
         let row = (self.table.get)(rows::CONFIG.into()).await;
-        let row = row.map_err(|_| plain(code::Code::StoreDown))?;
+        let row = row.map_err(|_| without_mistakes(code::Code::StoreDown))?;
         let (version, revision) = match &row {
             Some(row) => (version_of(&row.value), row.revision),
             None => (0, 0),
         };
         if version != base {
-            return Err(plain(code::Code::VersionConflict));
+            return Err(without_mistakes(code::Code::VersionConflict));
         }
         let next = class::Versioned {
             version: version + 1,
             document,
         };
-        let value = serde_json::to_string(&next).map_err(|_| plain(code::Code::ConfigInvalid))?;
-        let mut head = self.read_head().await.map_err(plain)?.unwrap_or_default();
-        // JSON numbers of other languages hold 53 bits.
+        let value = serde_json::to_string(&next)
+            .map_err(|_| without_mistakes(code::Code::ConfigInvalid))?;
+        let mut head = self
+            .read_head()
+            .await
+            .map_err(without_mistakes)?
+            .unwrap_or_default();
+        // 53 bits are the most that JSON numbers hold in other languages.
         let number = rand::random::<u64>() >> 11;
         head.version = next.version;
         head.changes.push((next.version, number));
-        let old = head.changes.len().saturating_sub(MAX_CHANGES);
+        let old = head.changes.len().saturating_sub(MAX_KEPT_CHANGES);
         head.changes.drain(..old);
         let mut tx = Transaction::put_if(rows::CONFIG, revision, value);
         tx.writes.push(Write {
@@ -194,11 +206,11 @@
         });
         match (self.table.commit)(tx).await {
             Ok(Commit::Done(_)) => {}
-            Ok(Commit::Conflict(_)) => return Err(plain(code::Code::VersionConflict)),
-            Err(platform::Error::NotDone) => return Err(plain(code::Code::StoreDown)),
+            Ok(Commit::Conflict(_)) => return Err(without_mistakes(code::Code::VersionConflict)),
+            Err(platform::Error::NotDone) => return Err(without_mistakes(code::Code::StoreDown)),
             Err(platform::Error::Unknown) => {
-                let found = self.resolve(next.version, number).await;
-                found.map_err(plain)?;
+                let found = self.resolve_change(next.version, number).await;
+                found.map_err(without_mistakes)?;
             }
         }
         let version = next.version;
@@ -206,31 +218,33 @@
         Ok(version)
     }
 
+    /// Reads the row with the newest version's number and the latest changes.
     async fn read_head(&self) -> Result<Option<rows::ConfigHead>, code::Code> {
         let row = (self.table.get)(rows::CONFIG_VERSION.into()).await;
         let row = row.map_err(|_| code::Code::StoreDown)?;
         Ok(row.and_then(|row| serde_json::from_str(&row.value).ok()))
     }
 
-    /// Reads whether a change whose answer was lost took effect.
+    /// Reads from the table whether a change whose answer was lost took effect.
     ///
-    /// Guards against a later change that hides it: the document alone would tell that another was
-    /// accepted, and this one would be refused although it had been in force.
-    async fn resolve(&self, version: id::Version, number: u64) -> Result<(), code::Code> {
+    /// Guards against a later change that hides it: the document alone would show only that another
+    /// change was accepted, and this one would be refused although it had been in force.
+    async fn resolve_change(&self, version: id::Version, number: u64) -> Result<(), code::Code> {
         for _ in 0..RESOLVE_TRIES {
             let head = self.read_head().await.ok().flatten().unwrap_or_default();
             let change = head.changes.iter().find(|(of, _)| *of == version);
             match change {
                 Some((_, found)) if *found == number => return Ok(()),
                 Some(_) => return Err(code::Code::VersionConflict),
-                // The write may still be under way, so "not there" proves nothing.
-                None => tokio::time::sleep(RESOLVE).await,
+                // The write may still be under way, so a missing change proves nothing.
+                None => tokio::time::sleep(RESOLVE_PAUSE).await,
             }
         }
         Err(code::Code::ChangeUnknown)
     }
 }
 
+/// Returns the version of a document as it is stored, or 0 if it can't be read.
 fn version_of(value: &str) -> id::Version {
     serde_json::from_str::<class::Versioned>(value).map_or(0, |v| v.version)
 }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,6 +1,7 @@
-//! Keeps an owner's links to the agents of its cell, by the rows that the agents write.
+//! Tells an owner which agents are members of its cell, by the rows that the agents write.
 //!
-//! The rows are read when the row that every join and leave changes has changed.
+//! Every agent that joins or leaves also changes one row of the cell, which is watched. The agents'
+//! rows are read again when that row has changed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,19 +18,20 @@
 use crate::wire::platform::{self, Transaction};
 use crate::wire::rows;
 
-/// Pauses while the table fails, growing from the first to the second with jitter.
+/// Shortest and longest pause between reads while the table fails; it grows with jitter.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(100);
 const MAX_PAUSE: time::Duration = time::Duration::from_secs(1);
 
-/// What the loop reports.
+/// Callbacks of the loop.
 pub struct Events {
-    /// The members, and the lives lost before, as first read after the epoch was raised.
+    /// The first read after the epoch was raised: the rows of all agents, with those that have left
+    /// and with the incarnations that were lost.
     pub first_read: Box<dyn Fn(&HashMap<id::AgentId, rows::Agent>) + Send + Sync>,
-    /// The members as they stand now.
+    /// Every read, the first included: the rows of the agents that are members now.
     pub current: Box<dyn Fn(&HashMap<id::AgentId, rows::Agent>) + Send + Sync>,
 }
 
-/// Reads the members of a cell at once, and again whenever `changed` tells that they have changed.
+/// Reads the members of a cell at once, and again whenever `changed` is notified; never returns.
 pub async fn run(
     table: platform::Table,
     cell: id::Cell,
@@ -58,6 +60,7 @@
     }
 }
 
+/// Reads the rows of a cell's agents, and removes the expired ones.
 async fn read(
     table: &platform::Table,
     cell: id::Cell,
@@ -70,10 +73,10 @@
     for row in found {
         let id = row.key[prefix.len()..].into();
         let agent: rows::Agent = serde_json::from_str(&row.value)?;
-        if is_over(&agent) {
+        if is_expired(&agent) {
             let mut tx = Transaction::put_if(&row.key, row.revision, String::new());
             tx.writes[0].value = None;
-            // Whoever reads next tries again.
+            // If this fails, the next reader tries again.
             let _ = (table.commit)(tx).await;
         } else {
             members.insert(id, agent);
@@ -82,8 +85,9 @@
     Ok(members)
 }
 
-/// Tells whether a row speaks only of lives that no submission can ask for any more.
-fn is_over(agent: &rows::Agent) -> bool {
+/// Tells whether a row can be removed: its agent has left, and its lost incarnations ended so long
+/// ago that no submission can depend on them any more.
+fn is_expired(agent: &rows::Agent) -> bool {
     let now = clock::since_epoch();
     let is_old = |life: &inherit::LostLife| {
         time::Duration::from_millis(life.at_ms) + 2 * ledger::RETENTION < now
@@ -91,7 +95,7 @@
     agent.left && agent.lost.iter().all(is_old)
 }
 
-/// The lives that an owner has to hear of.
+/// Returns the agents' current incarnations, from each of which a new owner needs a report.
 pub fn current_incarnations(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::Life> {
     let life = |(agent, row): (&id::AgentId, &rows::Agent)| inherit::Life {
         agent: agent.clone(),
@@ -104,7 +108,7 @@
         .collect()
 }
 
-/// The lives that were lost before.
+/// Returns the agents' incarnations that were lost.
 pub fn lost_incarnations(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::LostLife> {
     members.values().flat_map(|row| row.lost.clone()).collect()
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,4 +1,5 @@
-//! The loops that keep an entry's state: one file each, calling back through closures.
+//! The background loops of an entry that read and write the table: claims, configuration, members
+//! and ownership of cells. They report what they find through callbacks.
 
 pub mod cell_state;
 pub mod claims;
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -1,7 +1,9 @@
-//! Who owns which cell: watches the cells' rows, takes those that nobody owns, beats for its own.
+//! Ownership of the cells: each entry watches the cells' rows, takes cells that nobody owns, and
+//! writes heartbeats for the cells that it owns.
 //!
-//! Taking a cell is always safe, since the agents refuse the owner before; so an entry takes over
-//! on suspicion, and the only question is how soon. `docs/design/claims.md` has the order.
+//! Taking a cell is always safe, since the agents refuse orders of the previous owner once they
+//! know the new epoch. So an entry may take a cell over on mere suspicion; the rules here only
+//! decide how soon it does. `docs/design/claims.md` has the order.
 
 mod takeover;
 
@@ -21,76 +23,82 @@
 use crate::wire::platform::{self, Commit, Condition, Revision, Transaction, Write};
 use crate::wire::rows;
 
-/// Beats that have to fail to come before a cell is taken from an owner that is only silent.
+/// How long an owner's heartbeat has to stay unchanged before its cell is taken over, if the owner
+/// is only silent.
 pub const SILENT_AFTER: time::Duration = time::Duration::from_secs(3);
 
-/// Pause between looks while an owner is suspected.
-const RETRY: time::Duration = time::Duration::from_millis(150);
+/// Pause between checks of the cells while an owner is suspected or a cell has no owner.
+const SUSPECT_PAUSE: time::Duration = time::Duration::from_millis(150);
 
-/// Pauses while the table fails, growing from the first to the second with jitter.
+/// Shortest and longest pause between attempts while the table fails; it grows with jitter.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(100);
 const MAX_PAUSE: time::Duration = time::Duration::from_secs(1);
 
-/// What an entry is to the ownership.
+/// The entry that may own cells, as it is written into the rows of its cells.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Its id.
+    /// The entry's id.
     pub entry: id::EntryId,
-    /// Its life.
+    /// The incarnation of its process.
     pub incarnation: id::Incarnation,
-    /// Where others reach it (host and port).
+    /// Address at which other entries reach it (host and port).
     pub addr: CompactString,
 }
 
 /// A cell that this entry owns.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnedCell {
-    /// The cell.
+    /// The cell's number.
     pub cell: id::Cell,
     /// The epoch of the ownership.
     pub epoch: id::Epoch,
-    /// The revision of the cell's row.
+    /// The revision of the cell's row that names this entry.
     pub revision: Revision,
-    /// When the operation began that showed the ownership.
+    /// When the operation on the table that proved the ownership began.
     pub begun: time::Instant,
-    /// Until when the owner before may have started work ahead of its claims.
+    /// Until when the previous owner may have started work before its claims were written.
     pub unclaimed_starts_until: time::Instant,
 }
 
-/// What the loop reports.
+/// Callbacks of the ownership loop.
 pub struct Events {
-    /// A cell is owned by this entry.
+    /// This entry owns a cell, or owns it in a new epoch.
     pub owned: Box<dyn Fn(OwnedCell) + Send + Sync>,
-    /// The cell is owned by another entry.
+    /// A cell is owned by another entry; called at every check of the cells.
     pub owned_by_other: Box<dyn Fn(id::Cell, &rows::Owner) + Send + Sync>,
-    /// The owner was seen in the table by an operation that began at the time given.
+    /// A heartbeat that began at the time given proved the ownership of a cell.
     pub proved: Box<dyn Fn(id::Cell, time::Instant) + Send + Sync>,
     /// The watched rows were read and have changed since the last read.
     pub head_changed: Box<dyn Fn(&[platform::Row]) + Send + Sync>,
 }
 
-/// The ownership of one entry.
+/// Keeps track of all cells for one entry, and owns some of them.
 pub struct Ownership {
     table: platform::Table,
     candidate: Candidate,
     cells: u16,
     events: Events,
     roll: roll::Roll,
-    inner: Mutex<HashMap<id::Cell, State>>,
-    moves: Mutex<Moves>,
+    /// The state of each cell; [`State`] describes it.
+    states: Mutex<HashMap<id::Cell, State>>,
+    cell_moves: Mutex<CellMoves>,
+    /// The latest reads of the watched rows, by this entry and by others.
     sight: Mutex<head::Sight>,
+    /// Pauses between attempts while the table fails.
     outage: Mutex<backoff::Backoff>,
+    /// Makes the loop check the cells at once.
     wake: Notify,
 }
 
-/// When cells last came to this entry.
+/// When this entry last took any cell, and when it last took one from an entry that owned too many,
+/// or first looked for such an entry.
 #[derive(Debug, Default)]
-struct Moves {
-    taken: Option<time::Instant>,
-    pulled: Option<time::Instant>,
+struct CellMoves {
+    taken_at: Option<time::Instant>,
+    pulled_at: Option<time::Instant>,
 }
 
-/// Opens the ownership of one entry.
+/// Opens the ownership of one entry over `cells` cells; nothing happens until [`Ownership::run`].
 pub fn open(
     table: platform::Table,
     candidate: Candidate,
@@ -99,12 +107,12 @@
 ) -> Arc<Ownership> {
     Arc::new(Ownership {
         roll: roll::open(table.clone(), candidate.entry.clone()),
-        moves: Mutex::default(),
+        cell_moves: Mutex::default(),
         table,
         candidate,
         cells,
         events,
-        inner: Mutex::default(),
+        states: Mutex::default(),
         sight: Mutex::default(),
         outage: Mutex::new(backoff::open(MIN_PAUSE, MAX_PAUSE)),
         wake: Notify::new(),
@@ -112,43 +120,45 @@
 }
 
 impl Ownership {
-    /// Reports that the owner of a cell in an epoch seems to be gone.
+    /// Notes that the owner of a cell in an epoch is suspected to be gone.
     pub fn suspect(&self, cell: id::Cell, epoch: id::Epoch, suspicion: Suspicion) {
-        self.change(cell, |state| state.suspicion = Some((epoch, suspicion)));
+        self.update_state(cell, |state| state.suspicion = Some((epoch, suspicion)));
         self.wake.notify_one();
     }
 
-    /// Reports that the owner of a cell is heard again.
+    /// Notes that the owner of a cell was heard again, so that it is no longer suspected.
     pub fn clear_suspicion(&self, cell: id::Cell) {
-        self.change(cell, |state| state.suspicion = None);
+        self.update_state(cell, |state| state.suspicion = None);
     }
 
-    /// Looks at the cells at once, for example because a message was answered "not the owner".
+    /// Makes the loop check the cells at once, for example because another entry answered a message
+    /// with "not the owner".
     pub fn check_now(&self) {
         self.wake.notify_one();
     }
 
-    /// Forgets that a cell was owned; another entry has it.
+    /// Notes that this entry no longer owns a cell, because another entry has it.
     pub fn cell_lost(&self, cell: id::Cell) {
-        self.change(cell, |state| state.owned = None);
+        self.update_state(cell, |state| state.owned = None);
         self.wake.notify_one();
     }
 
-    /// Forgets that a cell was owned until the next look finds it again.
+    /// Forgets that this entry owns a cell, so that the next check reports the ownership again.
     pub fn forget_cell(&self, cell: id::Cell) {
-        self.change(cell, |state| {
+        self.update_state(cell, |state| {
             state.owned = None;
-            state.served = None;
+            state.last_epoch = None;
         });
     }
 
-    /// Hands all owned cells over: others find them without an owner. Takes none from now on.
+    /// Gives up all cells that this entry owns, so that other entries find them without an owner,
+    /// and takes no cell until [`Ownership::resume_taking`].
     pub async fn resign(&self) {
-        if self.spreads() {
+        if self.has_several_cells() {
             self.roll.leave().await;
         }
         for cell in 0..self.cells {
-            let state = self.change(cell, |state| {
+            let state = self.update_state(cell, |state| {
                 state.resigned = true;
                 state.clone()
             });
@@ -163,94 +173,102 @@
             };
             let value = serde_json::to_string(&vacant).unwrap_or_default();
             let tx = Transaction::put_if(&rows::cell(cell), revision, value);
-            // Where the write failed the cell is still owned, or a later look finds it vacant.
+            // If the write failed, this entry still owns the cell, or a later check finds it
+            // without an owner.
             if (self.table.commit)(tx).await.is_ok() {
-                self.change(cell, |state| state.owned = None);
+                self.update_state(cell, |state| state.owned = None);
             }
         }
     }
 
-    /// Takes cells again, after [`Ownership::resign`] found nobody else to take them.
+    /// Takes cells again, because no other entry took them after [`Ownership::resign`].
     pub fn resume_taking(&self) {
         for cell in 0..self.cells {
-            self.change(cell, |state| state.resigned = false);
+            self.update_state(cell, |state| state.resigned = false);
         }
         self.wake.notify_one();
     }
 
-    /// Notes that an operation which began at `begun` proved the ownership and changed the beat's
-    /// row, so that no beat of its own is due for a while.
+    /// Notes that an operation which began at `begun` proved the ownership and changed the row of
+    /// the cell's heartbeat, so that the next heartbeat is due later.
     pub fn note_proof(&self, cell: id::Cell, begun: time::Instant) {
-        self.change(cell, |state| state.proved = state.proved.max(Some(begun)));
+        self.update_state(cell, |state| {
+            state.proved_at = state.proved_at.max(Some(begun))
+        });
     }
 
-    /// Notes what another entry read of the watched rows.
+    /// Notes the digest of the watched rows that another entry read, and the age of that read.
     pub fn note_digest(&self, digest: head::Digest, age: time::Duration) {
-        let news = self.sight().hear(time::Instant::now(), digest, age);
-        if news {
+        let is_news = self.sight().hear(time::Instant::now(), digest, age);
+        if is_news {
             self.wake.notify_one();
         }
     }
 
-    /// What other entries may be told of the watched rows.
+    /// Returns the digest of the watched rows and the age of the read behind it, for other entries.
     pub fn newest_digest(&self) -> Option<(head::Digest, time::Duration)> {
         self.sight().tell(time::Instant::now())
     }
 
-    /// Watches for ever.
+    /// Runs the loop; never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
-            let woken = tokio::time::timeout(self.pause(), self.wake.notified()).await;
-            // A table that is down is asked at a falling pace, whoever wants to know.
-            tokio::time::sleep(self.outage(|outage| outage.left())).await;
-            if woken.is_ok() || self.is_suspicious() || self.look_due_in().is_zero() {
-                self.look_at_cells().await;
+            let woken = tokio::time::timeout(self.next_due_in(), self.wake.notified()).await;
+            // While the table is down the pauses between attempts grow, whatever woke the loop.
+            tokio::time::sleep(self.with_outage(|outage| outage.left())).await;
+            if woken.is_ok() || self.any_needs_recheck() || self.read_due_in().is_zero() {
+                self.check_cells().await;
             }
-            self.beat_for_cells().await;
+            self.send_heartbeats().await;
         }
     }
 
-    fn pause(&self) -> time::Duration {
-        let suspicious = self.is_suspicious().then_some(RETRY);
-        let beat = self.beat_due_in();
-        let soonest = [suspicious, beat].into_iter().flatten().min();
-        let look = self.look_due_in();
-        soonest.map_or(look, |soonest| soonest.min(look))
+    /// Returns the time until the next check or heartbeat is due.
+    fn next_due_in(&self) -> time::Duration {
+        let suspicious = self.any_needs_recheck().then_some(SUSPECT_PAUSE);
+        let heartbeat = self.heartbeat_due_in();
+        let soonest = [suspicious, heartbeat].into_iter().flatten().min();
+        let read = self.read_due_in();
+        soonest.map_or(read, |soonest| soonest.min(read))
     }
 
-    fn is_suspicious(&self) -> bool {
-        let inner = self.inner.lock().expect("the ownership is whole");
-        inner
+    /// Tells whether a cell of another entry has to be checked again soon.
+    fn any_needs_recheck(&self) -> bool {
+        let states = self.states.lock().expect("the ownership is whole");
+        states
             .values()
-            .any(|state| state.owned.is_none() && state.is_pending())
+            .any(|state| state.owned.is_none() && state.needs_recheck())
     }
 
-    fn look_due_in(&self) -> time::Duration {
+    /// Returns the time until the watched rows have to be read again.
+    fn read_due_in(&self) -> time::Duration {
         let owns = {
-            let inner = self.inner.lock().expect("the ownership is whole");
-            inner.values().any(|state| state.owned.is_some())
+            let states = self.states.lock().expect("the ownership is whole");
+            states.values().any(|state| state.owned.is_some())
         };
-        // Where there are cells to spread, every entry has to see what the others hold.
-        let watches = owns || self.spreads();
+        // If there are several cells to spread, every entry has to see which ones the others own.
+        let watches = owns || self.has_several_cells();
         self.sight().due_in(time::Instant::now(), watches)
     }
 
-    fn beat_due_in(&self) -> Option<time::Duration> {
+    /// Returns the time until the next heartbeat is due, if this entry owns a cell.
+    fn heartbeat_due_in(&self) -> Option<time::Duration> {
         let now = time::Instant::now();
-        let inner = self.inner.lock().expect("the ownership is whole");
-        inner
+        let states = self.states.lock().expect("the ownership is whole");
+        states
             .values()
-            .filter_map(|state| state.beat_due_in(now))
+            .filter_map(|state| state.heartbeat_due_in(now))
             .min()
     }
 
-    /// Beats for every owned cell that nothing else proved lately, and learns from the condition
-    /// whether it is still owned.
-    async fn beat_for_cells(&self) {
+    /// Writes a heartbeat for every owned cell whose last proof of ownership is old enough. The
+    /// write is conditional on the cell's row, so it also shows whether this entry still owns the
+    /// cell.
+    async fn send_heartbeats(&self) {
         for cell in 0..self.cells {
             let now = time::Instant::now();
-            let due = self.change(cell, |state| state.begin_beat(now));
-            let Some((epoch, revision, beat)) = due else {
+            let due = self.update_state(cell, |state| state.begin_heartbeat(now));
+            let Some((epoch, revision, heartbeat)) = due else {
                 continue;
             };
             let tx = Transaction {
@@ -260,11 +278,11 @@
                 }],
                 writes: vec![Write {
                     key: rows::beat(cell),
-                    value: Some(format!("[{epoch},{beat}]")),
+                    value: Some(format!("[{epoch},{heartbeat}]")),
                 }],
             };
             let committed = (self.table.commit)(tx).await;
-            match self.note(committed) {
+            match self.note_answer(committed) {
                 Ok(Commit::Done(_)) => {
                     self.note_proof(cell, now);
                     (self.events.proved)(cell, now);
@@ -275,18 +293,20 @@
         }
     }
 
-    fn change<T>(&self, cell: id::Cell, f: impl FnOnce(&mut State) -> T) -> T {
-        let mut inner = self.inner.lock().expect("the ownership is whole");
-        f(inner.entry(cell).or_default())
+    /// Applies a change to the state of a cell and returns its result.
+    fn update_state<T>(&self, cell: id::Cell, f: impl FnOnce(&mut State) -> T) -> T {
+        let mut states = self.states.lock().expect("the ownership is whole");
+        f(states.entry(cell).or_default())
     }
 
-    /// Notes whether the table answered, for the pause before it is asked again.
-    fn note<T>(&self, answer: Result<T, platform::Error>) -> Result<T, platform::Error> {
-        self.outage(|outage| outage.note(answer.is_ok()));
+    /// Notes whether the table answered, which sets the pause before the next attempt.
+    fn note_answer<T>(&self, answer: Result<T, platform::Error>) -> Result<T, platform::Error> {
+        self.with_outage(|outage| outage.note(answer.is_ok()));
         answer
     }
 
-    fn outage<T>(&self, f: impl FnOnce(&mut backoff::Backoff) -> T) -> T {
+    /// Applies a function to the pauses for an outage of the table.
+    fn with_outage<T>(&self, f: impl FnOnce(&mut backoff::Backoff) -> T) -> T {
         f(&mut self.outage.lock().expect("the outage is whole"))
     }
 
@@ -295,8 +315,9 @@
     }
 }
 
-/// Sums up rows by their revisions, in 53 bits, which JSON numbers of other languages hold.
-fn digest(rows: &[platform::Row]) -> head::Digest {
+/// Digests the keys and revisions of rows to 53 bits, the most that JSON numbers hold in other
+/// languages.
+fn rows_digest(rows: &[platform::Row]) -> head::Digest {
     let mut hasher = xxh3::Xxh3::new();
     for row in rows {
         hasher.update(row.key.as_bytes());
@@ -305,7 +326,7 @@
     hasher.digest() >> 11
 }
 
-/// The owner of a cell, by the rows found.
+/// Finds the owner of a cell in the rows read.
 fn owner_of(found: &[platform::Row], cell: id::Cell) -> Option<rows::Owner> {
     let key = rows::cell(cell);
     let row = found.iter().find(|row| row.key == key)?;
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -1,7 +1,7 @@
-//! Looking at the cells of others: which are vacant or held too long by the dead, and taking them.
+//! Checks of the cells: which ones have no owner or an owner that is gone, and taking them over.
 
 use crate::controller::cell_state::Suspicion;
-use crate::controller::ownership::{digest, owner_of, OwnedCell, Ownership, SILENT_AFTER};
+use crate::controller::ownership::{owner_of, rows_digest, OwnedCell, Ownership, SILENT_AFTER};
 use crate::decide::inherit;
 use crate::decide::spread;
 use crate::id;
@@ -12,34 +12,37 @@
 use std::time;
 
 impl Ownership {
-    pub(super) async fn look_at_cells(&self) {
+    /// Reads the watched rows, takes cells that are free to be taken, and may take one from an
+    /// entry that owns too many.
+    pub(super) async fn check_cells(&self) {
         let begun = time::Instant::now();
         let found = (self.table.scan)(rows::HEAD.into()).await;
-        let Ok(found) = self.note(found) else {
+        let Ok(found) = self.note_answer(found) else {
             return;
         };
-        if self.sight().read(begun, digest(&found)) {
+        if self.sight().read(begun, rows_digest(&found)) {
             (self.events.head_changed)(&found);
         }
         let by_key: HashMap<_, _> = found.iter().map(|row| (row.key.clone(), row)).collect();
         let mut holdings = self.holdings(&found).await;
         for cell in spread::order(&self.candidate.entry, self.cells) {
             let row = by_key.get(&rows::cell(cell)).copied();
-            if self.look_at(cell, row, &holdings).await {
+            if self.check_cell(cell, row, &holdings).await {
                 holdings.add(&self.candidate.entry, cell);
             }
         }
-        self.pull(&holdings, &by_key).await;
+        self.pull_cell(&holdings, &by_key).await;
     }
 
-    /// Tells whether there are cells to spread.
-    pub(super) fn spreads(&self) -> bool {
+    /// Tells whether there are several cells, so that they can be spread over the entries.
+    pub(super) fn has_several_cells(&self) -> bool {
         self.cells > 1
     }
 
-    /// Who is alive and holds what. With one cell there is nothing to wait for.
+    /// Returns which entries are alive and which cells they own; empty with one cell, since then
+    /// there is nothing to spread.
     pub(super) async fn holdings(&self, found: &[platform::Row]) -> spread::Holdings {
-        if !self.spreads() || self.change(0, |state| state.resigned) {
+        if !self.has_several_cells() || self.update_state(0, |state| state.resigned) {
             return spread::Holdings::default();
         }
         let alive = self.roll.refresh().await;
@@ -49,8 +52,8 @@
         spread::Holdings::gather(&alive, owners.iter().map(|(cell, id)| (*cell, id)))
     }
 
-    /// Pulls one cell where another entry holds too many.
-    pub(super) async fn pull(
+    /// Takes one cell from another entry that owns too many.
+    pub(super) async fn pull_cell(
         &self,
         holdings: &spread::Holdings,
         by_key: &HashMap<CompactString, &platform::Row>,
@@ -59,8 +62,12 @@
             return;
         };
         {
-            let pulled = &mut self.moves.lock().expect("the ownership is whole").pulled;
-            // The first look of an entry sees others that have not looked yet.
+            let pulled = &mut self
+                .cell_moves
+                .lock()
+                .expect("the ownership is whole")
+                .pulled_at;
+            // At the first check of this entry, other entries may not have taken their cells yet.
             let since = *pulled.get_or_insert_with(time::Instant::now);
             if since.elapsed() < spread::PULL_PAUSE {
                 return;
@@ -72,16 +79,16 @@
         };
         if let Ok(owner) = serde_json::from_str::<rows::Owner>(&row.value) {
             log::info!(
-                "cell {cell} is pulled from {}, which holds more",
+                "cell {cell} is taken over from {}, which owns more cells",
                 owner.entry
             );
-            self.take(cell, row.revision, owner.epoch).await;
+            self.take_cell(cell, row.revision, owner.epoch).await;
         }
     }
 
-    /// Looks at one cell; a vacant one is left for a while to entries that hold fewer. Tells
-    /// whether it was taken.
-    pub(super) async fn look_at(
+    /// Checks one cell and takes it if it has no owner or its owner is gone; entries that own fewer
+    /// cells get some time to take it first. Tells whether this entry took it.
+    pub(super) async fn check_cell(
         &self,
         cell: id::Cell,
         row: Option<&platform::Row>,
@@ -91,50 +98,58 @@
         let owner = row.and_then(|row| serde_json::from_str::<rows::Owner>(&row.value).ok());
         let epoch = owner.as_ref().map_or(0, |owner| owner.epoch);
         let Some(owner) = owner.filter(|owner| !owner.entry.is_empty()) else {
-            return self.has_waited(cell, holdings) && self.take(cell, revision, epoch).await;
+            return self.may_take(cell, holdings) && self.take_cell(cell, revision, epoch).await;
         };
         let mine = owner.entry == self.candidate.entry;
         if mine && owner.incarnation == self.candidate.incarnation {
-            // An owner that was let go must not come back under its epoch: its starts that are
-            // still on their way would pass the fence after the agents' reports.
-            let was_let_go = self.change(cell, |state| {
-                state.owned.is_none() && state.served == Some(owner.epoch)
+            // An owner that this entry released must not serve again in the same epoch. Starts that
+            // it sent and that arrive late would pass the agents' fence, although the agents have
+            // already reported to the new owner which tasks they know.
+            let was_released = self.update_state(cell, |state| {
+                state.owned.is_none() && state.last_epoch == Some(owner.epoch)
             });
-            if was_let_go {
-                return self.take(cell, revision, owner.epoch).await;
+            if was_released {
+                return self.take_cell(cell, revision, owner.epoch).await;
             }
             let now = time::Instant::now();
-            self.own(OwnedCell {
+            self.set_owned(OwnedCell {
                 cell,
                 epoch: owner.epoch,
                 revision,
-                // A lost answer hides when the cell was won, so nothing is known of its sight.
+                // The answer to the write was lost, so it is unknown when this entry got the cell.
+                // The proof of ownership counts as too old to start work before its claims.
                 begun: now.checked_sub(inherit::TABLE_SIGHT).unwrap_or(now),
                 unclaimed_starts_until: now + inherit::TABLE_SIGHT,
             });
             return false;
         }
-        self.change(cell, |state| state.owned = None);
-        // An earlier life of this entry surely runs no more.
-        if mine || self.is_gone(cell, owner.epoch).await {
-            return self.has_waited(cell, holdings) && self.take(cell, revision, owner.epoch).await;
+        self.update_state(cell, |state| state.owned = None);
+        // An earlier incarnation of this entry certainly doesn't run any more.
+        if mine || self.is_owner_gone(cell, owner.epoch).await {
+            return self.may_take(cell, holdings)
+                && self.take_cell(cell, revision, owner.epoch).await;
         }
-        self.change(cell, |state| state.vacant = None);
+        self.update_state(cell, |state| state.vacant_since = None);
         (self.events.owned_by_other)(cell, &owner);
         false
     }
 
-    /// Tells whether a cell has been without an owner for long enough.
-    pub(super) fn has_waited(&self, cell: id::Cell, holdings: &spread::Holdings) -> bool {
+    /// Tells whether a cell has been without an owner for long enough that this entry may take it.
+    pub(super) fn may_take(&self, cell: id::Cell, holdings: &spread::Holdings) -> bool {
         let now = time::Instant::now();
-        let vacant = self.change(cell, |state| *state.vacant.get_or_insert(now));
-        let taken = self.moves.lock().expect("the ownership is whole").taken;
-        holdings.may_take(&self.candidate.entry, now, vacant, taken)
+        let vacant_since = self.update_state(cell, |state| *state.vacant_since.get_or_insert(now));
+        let taken_at = self
+            .cell_moves
+            .lock()
+            .expect("the ownership is whole")
+            .taken_at;
+        holdings.may_take(&self.candidate.entry, now, vacant_since, taken_at)
     }
 
-    /// Tells whether a suspected owner is to be replaced.
-    pub(super) async fn is_gone(&self, cell: id::Cell, epoch: id::Epoch) -> bool {
-        let state = self.change(cell, |state| state.clone());
+    /// Tells whether the owner of a cell is suspected and has to be replaced: at once if it refuses
+    /// connections, and if it is silent once its heartbeat is unchanged for [`SILENT_AFTER`].
+    pub(super) async fn is_owner_gone(&self, cell: id::Cell, epoch: id::Epoch) -> bool {
+        let state = self.update_state(cell, |state| state.clone());
         match state.suspicion {
             Some((of, Suspicion::Refusing)) if of == epoch => return true,
             Some((of, Suspicion::Silent)) if of == epoch => {}
@@ -144,24 +159,33 @@
             return false;
         };
         let revision = row.map_or(0, |row| row.revision);
-        match state.beat_seen {
+        match state.heartbeat_seen {
             Some((of, seen, since)) if (of, seen) == (epoch, revision) => {
                 since.elapsed() >= SILENT_AFTER
             }
             _ => {
                 let now = time::Instant::now();
-                self.change(cell, |state| state.beat_seen = Some((epoch, revision, now)));
+                self.update_state(cell, |state| {
+                    state.heartbeat_seen = Some((epoch, revision, now))
+                });
                 false
             }
         }
     }
 
-    /// Takes a cell, and tells whether it surely did.
-    pub(super) async fn take(&self, cell: id::Cell, revision: Revision, epoch: id::Epoch) -> bool {
-        if self.change(cell, |state| state.resigned) {
+    /// Takes a cell in the next epoch. Tells whether it certainly did; if not, the next check finds
+    /// out.
+    pub(super) async fn take_cell(
+        &self,
+        cell: id::Cell,
+        revision: Revision,
+        epoch: id::Epoch,
+    ) -> bool {
+        if self.update_state(cell, |state| state.resigned) {
             return false;
         }
-        // Candidates that saw the same are spread a little, so that most never try in vain.
+        // Several entries may see at the same time that the cell is free. A random delay spreads
+        // their attempts, so that most of them see the new owner before they try.
         tokio::time::sleep(time::Duration::from_millis(rand::random_range(0..40))).await;
         let owner = rows::Owner {
             entry: self.candidate.entry.clone(),
@@ -171,23 +195,27 @@
         };
         let value = serde_json::to_string(&owner).unwrap_or_default();
         let mut tx = Transaction::put_if(&rows::cell(cell), revision, value);
-        // The owner before may start work ahead of its claims while its last proof of ownership is
-        // younger than [`inherit::TABLE_SIGHT`], and every proof changes its beat. Where the beat
-        // was watched and stood still, that time counts from when the watch began. The condition
-        // guards against a proof that comes between the last look at the beat and this write.
-        let watched = self.watched(cell, epoch);
-        tx.conditions.extend(watched.map(|(revision, _)| Condition {
-            key: rows::beat(cell),
-            revision,
-        }));
+        // The previous owner may start work before its claims are written while its last proof of
+        // ownership is younger than [`inherit::TABLE_SIGHT`], and every proof changes its
+        // heartbeat. If the heartbeat was seen to be unchanged, that time counts from when it was
+        // first seen. The condition guards against a proof between the last read of the heartbeat
+        // and this write.
+        let unchanged = self.unchanged_heartbeat(cell, epoch);
+        tx.conditions
+            .extend(unchanged.map(|(revision, _)| Condition {
+                key: rows::beat(cell),
+                revision,
+            }));
         let begun = time::Instant::now();
         match (self.table.commit)(tx).await {
             Ok(Commit::Done(revision)) => {
-                let since = watched.map_or_else(time::Instant::now, |(_, since)| since);
+                let since = unchanged.map_or_else(time::Instant::now, |(_, since)| since);
                 let unclaimed_starts_until = since + inherit::TABLE_SIGHT;
-                self.moves.lock().expect("the ownership is whole").taken =
-                    Some(time::Instant::now());
-                self.own(OwnedCell {
+                self.cell_moves
+                    .lock()
+                    .expect("the ownership is whole")
+                    .taken_at = Some(time::Instant::now());
+                self.set_owned(OwnedCell {
                     cell,
                     epoch: epoch + 1,
                     revision,
@@ -196,7 +224,7 @@
                 });
                 true
             }
-            // Somebody else was quicker, or the answer was lost: the next look tells.
+            // Another entry was quicker, or the answer was lost: the next check finds out.
             Ok(Commit::Conflict(_)) | Err(_) => {
                 self.wake.notify_one();
                 false
@@ -204,29 +232,31 @@
         }
     }
 
-    /// The beat that was watched and stood still, by its revision, and since when.
-    pub(super) fn watched(
+    /// Returns the revision of the owner's heartbeat and since when it is unchanged, if that is at
+    /// least [`SILENT_AFTER`].
+    pub(super) fn unchanged_heartbeat(
         &self,
         cell: id::Cell,
         epoch: id::Epoch,
     ) -> Option<(Revision, time::Instant)> {
-        let (of, revision, since) = self.change(cell, |state| state.beat_seen)?;
+        let (of, revision, since) = self.update_state(cell, |state| state.heartbeat_seen)?;
         (of == epoch && since.elapsed() >= SILENT_AFTER).then_some((revision, since))
     }
 
-    pub(super) fn own(&self, won: OwnedCell) {
-        let owned = (won.epoch, won.revision);
-        let news = self.change(won.cell, |state| {
-            let news = state.owned != Some(owned);
+    /// Notes that this entry owns a cell, and reports it unless it is known.
+    pub(super) fn set_owned(&self, owned_cell: OwnedCell) {
+        let owned = (owned_cell.epoch, owned_cell.revision);
+        let is_new = self.update_state(owned_cell.cell, |state| {
+            let is_new = state.owned != Some(owned);
             state.owned = Some(owned);
-            state.served = Some(won.epoch);
+            state.last_epoch = Some(owned_cell.epoch);
             state.suspicion = None;
-            state.beat_seen = None;
-            state.vacant = None;
-            news
+            state.heartbeat_seen = None;
+            state.vacant_since = None;
+            is_new
         });
-        if news {
-            (self.events.owned)(won);
+        if is_new {
+            (self.events.owned)(owned_cell);
         }
     }
 }
--- a/src/controller/roll.rs
+++ b/src/controller/roll.rs
@@ -1,7 +1,9 @@
-//! The roll of entries: each writes a row of its own now and then, and sees who else does.
+//! The list of live entries: each entry regularly writes a heartbeat into a row of its own and
+//! reads the rows of the others.
 //!
-//! Only the spread of cells uses it, so a wrong view costs a takeover at worst. With one cell there
-//! is nothing to spread, and neither rows nor reads are spent on it.
+//! Only the spreading of cells over entries uses the list, so the worst effect of a wrong list is
+//! an unnecessary takeover. With one cell there is nothing to spread, and the rows are neither
+//! written nor read.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -11,17 +13,18 @@
 use crate::wire::platform::{self, Revision, Transaction};
 use crate::wire::rows;
 
-/// Time without a change of its row after which an entry is taken for gone. Measured by the
-/// reader's own clock between its reads, so clocks need not agree.
+/// Time without a change of its row after which an entry counts as gone. The reader measures it by
+/// its own clock between its reads, so clocks need not agree.
 const GONE_AFTER: time::Duration = time::Duration::from_secs(7);
 
-/// Pause between two calls; looks in between use what the last one found.
-const PAUSE: time::Duration = time::Duration::from_millis(1_900);
+/// Least time between two refreshes of the list; in between, the last one's result is used.
+const REFRESH_PAUSE: time::Duration = time::Duration::from_millis(1_900);
 
-/// Time that the first call leaves to entries that start at the same moment.
-const FIRST_PAUSE: time::Duration = time::Duration::from_millis(500);
+/// Delay between this entry's first heartbeat and its first read, so that entries that start at the
+/// same time see each other.
+const FIRST_READ_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// The roll as one entry keeps it.
+/// The list of live entries, as seen by one entry.
 pub struct Roll {
     table: platform::Table,
     entry: id::EntryId,
@@ -30,12 +33,14 @@
 
 #[derive(Default)]
 struct Inner {
-    beats: u64,
-    called: Option<time::Instant>,
-    seen: HashMap<id::EntryId, (Revision, time::Instant)>,
+    /// Number of heartbeats written; the row's value, so that each write changes it.
+    heartbeats: u64,
+    refreshed_at: Option<time::Instant>,
+    /// The revision of each entry's row and when this entry first read that revision.
+    last_changes: HashMap<id::EntryId, (Revision, time::Instant)>,
 }
 
-/// Opens the roll of one entry.
+/// Opens the list for one entry; the table is used at the first [`Roll::refresh`].
 pub fn open(table: platform::Table, entry: id::EntryId) -> Roll {
     Roll {
         table,
@@ -45,56 +50,62 @@
 }
 
 impl Roll {
-    /// Writes this entry's row and reads all; returns who is alive, this entry included.
+    /// Writes this entry's heartbeat and reads all rows, if that is due. Returns the live entries,
+    /// this one included.
     pub async fn refresh(&self) -> Vec<id::EntryId> {
-        let Some(beats) = self.next_beat() else {
-            return self.alive();
+        let Some(heartbeats) = self.next_heartbeat() else {
+            return self.live_entries();
         };
-        let tx = Transaction::put(&rows::entry(&self.entry), beats.to_string());
-        // A beat that is lost makes this entry look gone for a moment, which costs nothing but a
-        // cell that somebody pulls later.
+        let tx = Transaction::put(&rows::entry(&self.entry), heartbeats.to_string());
+        // If the heartbeat is lost, this entry may count as gone for a moment. At worst the cells
+        // are spread unevenly for that time, and one more takeover evens them out later.
         let _ = (self.table.commit)(tx).await;
-        if beats == 1 {
-            tokio::time::sleep(FIRST_PAUSE).await;
+        if heartbeats == 1 {
+            tokio::time::sleep(FIRST_READ_DELAY).await;
         }
         if let Ok(found) = (self.table.scan)(rows::ENTRIES.into()).await {
-            self.note(&found);
+            self.record_rows(&found);
         }
-        self.alive()
+        self.live_entries()
     }
 
-    /// Numbers the next beat, if one is due.
-    fn next_beat(&self) -> Option<u64> {
+    /// Returns the number of the next heartbeat, if one is due.
+    fn next_heartbeat(&self) -> Option<u64> {
         let mut inner = self.inner.lock().expect("the roll is whole");
-        if inner.called.is_some_and(|at| at.elapsed() < PAUSE) {
+        if inner
+            .refreshed_at
+            .is_some_and(|at| at.elapsed() < REFRESH_PAUSE)
+        {
             return None;
         }
-        inner.called = Some(time::Instant::now());
-        inner.beats += 1;
-        Some(inner.beats)
+        inner.refreshed_at = Some(time::Instant::now());
+        inner.heartbeats += 1;
+        Some(inner.heartbeats)
     }
 
-    /// Strikes this entry off, so that nobody leaves cells to it.
+    /// Removes this entry from the list, so that other entries don't leave cells to it.
     pub async fn leave(&self) {
         let _ = (self.table.commit)(Transaction::remove([rows::entry(&self.entry)])).await;
     }
 
-    fn note(&self, found: &[platform::Row]) {
+    /// Records the rows read, and the time for those that have changed.
+    fn record_rows(&self, found: &[platform::Row]) {
         let now = time::Instant::now();
         let mut inner = self.inner.lock().expect("the roll is whole");
-        let mut seen = HashMap::new();
+        let mut last_changes = HashMap::new();
         for row in found {
             let id: id::EntryId = row.key[rows::ENTRIES.len()..].into();
-            let before = inner.seen.get(&id).copied();
+            let before = inner.last_changes.get(&id).copied();
             let unchanged = before.filter(|(revision, _)| *revision == row.revision);
-            seen.insert(id, unchanged.unwrap_or((row.revision, now)));
+            last_changes.insert(id, unchanged.unwrap_or((row.revision, now)));
         }
-        inner.seen = seen;
+        inner.last_changes = last_changes;
     }
 
-    fn alive(&self) -> Vec<id::EntryId> {
+    /// Returns this entry and all others whose row changed within [`GONE_AFTER`].
+    fn live_entries(&self) -> Vec<id::EntryId> {
         let inner = self.inner.lock().expect("the roll is whole");
-        let others = inner.seen.iter();
+        let others = inner.last_changes.iter();
         let mut alive: Vec<id::EntryId> = others
             .filter(|(id, (_, since))| **id != self.entry && since.elapsed() < GONE_AFTER)
             .map(|(id, _)| id.clone())
