--- a/tests/claims_forgotten.rs
+++ b/tests/claims_forgotten.rs
@@ -1,4 +1,4 @@
-//! What an owner answers for jobs whose endings it no longer keeps, and for jobs that it never took.
+//! What an owner answers for jobs whose endings it no longer keeps, and for jobs that it never had.
 
 #[path = "decide_support/mod.rs"]
 mod support;
@@ -11,9 +11,10 @@
 use lovagemill::decide::owner;
 use lovagemill::submission;
 
-/// A school submits a job, gets no answer and submits again two minutes later. In between the
-/// owner has ended more jobs than it keeps endings for. The key was forgotten with the ending and
-/// looked fresh, so the job ran a second time.
+/// Guards against a second run of a job whose ending was evicted. A school submits a job, gets no
+/// answer and submits again two minutes later, after the owner has ended more jobs than it keeps
+/// endings for. When the key was evicted together with the ending, the job looked new and ran
+/// again.
 #[test]
 fn a_job_whose_ending_was_dropped_does_not_run_again() {
     let mut fake = support::open(100);
@@ -35,7 +36,7 @@
     assert_eq!(fake.starts.len(), starts);
 }
 
-/// Large answers fill the owner's memory long before 20,000 jobs have ended.
+/// Guards against large answers that fill the owner's memory long before 20,000 jobs have ended.
 #[test]
 fn endings_are_dropped_by_their_bytes() {
     let mut fake = support::open(10);
@@ -57,8 +58,8 @@
     assert!(fake.is_complete(newest));
 }
 
-/// The owner dies while a job runs. The caller withdraws the job at the new owner, which has not
-/// taken it up, and was told "not found, not run" of a job that was running.
+/// Guards against "not run" for a job that runs. The owner dies while a job runs, and the caller
+/// cancels the job at the new owner, which doesn't know it yet and answered "not found, not run".
 #[test]
 fn cancelling_an_earlier_owners_job_is_not_answered_not_run() {
     let now = time::Instant::now();
@@ -79,7 +80,7 @@
         panic!("one reply: {replies:?}");
     };
     let submission::Ending::Failed(refusal) = &**ending else {
-        panic!("it was withdrawn");
+        panic!("a cancelled job has no answer");
     };
     assert!(refusal.unknown && !refusal.not_run, "{refusal:?}");
 }
--- a/tests/claims_ownership.rs
+++ b/tests/claims_ownership.rs
@@ -1,4 +1,4 @@
-//! Taking a cell and handing it over while writes fail or their answers are lost.
+//! Taking a cell over and giving it up while writes fail or their answers are lost.
 
 mod support;
 
@@ -14,84 +14,91 @@
 use support::memory::{Fault, MemoryPlatform, Operation};
 use tokio::sync::mpsc;
 
-type Wins = mpsc::UnboundedReceiver<ownership::OwnedCell>;
+type OwnedCells = mpsc::UnboundedReceiver<ownership::OwnedCell>;
 
-/// One entry over a platform whose next write meets the fault given.
-fn open(memory: &MemoryPlatform) -> (Arc<ownership::Ownership>, Wins, Arc<Mutex<Fault>>) {
+/// Opens the ownership of one entry over a platform whose next write meets the fault in the mutex.
+fn open(memory: &MemoryPlatform) -> (Arc<ownership::Ownership>, OwnedCells, Arc<Mutex<Fault>>) {
     let next = Arc::new(Mutex::new(Fault::None));
     let injected = next.clone();
     let platform = memory.platform_with_faults(Box::new(move |operation| match operation {
         Operation::Write => std::mem::replace(&mut injected.lock().unwrap(), Fault::None),
         Operation::Read => Fault::None,
     }));
-    let (ownership, wins) = open_over(platform);
-    (ownership, wins, next)
+    let (ownership, owned_cells) = open_over(platform);
+    (ownership, owned_cells, next)
 }
 
-fn open_over(platform: platform::Platform) -> (Arc<ownership::Ownership>, Wins) {
+/// Opens the ownership of one entry over a platform. The receiver gets each cell that it owns.
+fn open_over(platform: platform::Platform) -> (Arc<ownership::Ownership>, OwnedCells) {
     let candidate = ownership::Candidate {
         entry: "entry-0".into(),
         incarnation: 1,
         addr: "127.0.0.1:1".into(),
     };
-    let (tx, wins) = mpsc::unbounded_channel();
+    let (tx, owned_cells) = mpsc::unbounded_channel();
     let events = ownership::Events {
-        owned: Box::new(move |won| {
-            let _ = tx.send(won);
+        owned: Box::new(move |owned| {
+            let _ = tx.send(owned);
         }),
         owned_by_other: Box::new(|_, _| {}),
         proved: Box::new(|_, _| {}),
         head_changed: Box::new(|_| {}),
     };
-    (ownership::open(platform.table, candidate, 1, events), wins)
+    (
+        ownership::open(platform.table, candidate, 1, events),
+        owned_cells,
+    )
 }
 
-async fn next_win(wins: &mut Wins) -> ownership::OwnedCell {
-    let won = tokio::time::timeout(support::HANG, wins.recv()).await;
-    won.expect("it doesn't hang").expect("the loop runs")
+async fn next_owned(owned_cells: &mut OwnedCells) -> ownership::OwnedCell {
+    let owned = tokio::time::timeout(support::HANG, owned_cells.recv()).await;
+    owned.expect("it doesn't hang").expect("the loop runs")
 }
 
-async fn next(wins: &mut Wins) -> id::Epoch {
-    next_win(wins).await.epoch
+async fn next_epoch(owned_cells: &mut OwnedCells) -> id::Epoch {
+    next_owned(owned_cells).await.epoch
 }
 
-/// An entry takes a vacant cell and the table's answer is lost. Repeated blindly, the write would
-/// conflict with itself; the next look finds the entry in the row, under the epoch that it wrote.
+/// Guards against an entry that doesn't notice that it took a cell. It takes a cell without an
+/// owner and the table's answer is lost. A repeated write would conflict with the first one.
+/// Instead the next check finds the entry in the cell's row, in the epoch that it wrote.
 #[tokio::test]
 async fn a_cell_taken_with_a_lost_answer_is_adopted() {
     let memory = MemoryPlatform::open();
-    let (ownership, mut wins, fault) = open(&memory);
+    let (ownership, mut owned_cells, fault) = open(&memory);
     *fault.lock().unwrap() = Fault::AnswerLost;
     let running = tokio::spawn(ownership.run());
-    assert_eq!(next(&mut wins).await, 1);
+    assert_eq!(next_epoch(&mut owned_cells).await, 1);
     running.abort();
 }
 
-/// An entry drains while the table fails: its row still names it. It was let go and taken up again
-/// under the same epoch, by a second owner with an empty memory, whose agents still let the first
-/// one's starts pass after they had reported; a task started twice.
+/// Guards against a task that starts twice. An entry drains while the table fails, so the cell's
+/// row still names it. The entry ended its owner and opened a second one without any knowledge in
+/// the same epoch. The agents reported their tasks to the second owner, but their fence still let
+/// late starts of the first one pass.
 #[tokio::test]
 async fn an_epoch_is_never_served_twice() {
     let memory = MemoryPlatform::open();
-    let (ownership, mut wins, fault) = open(&memory);
+    let (ownership, mut owned_cells, fault) = open(&memory);
     let running = tokio::spawn(ownership.clone().run());
-    assert_eq!(next(&mut wins).await, 1);
+    assert_eq!(next_epoch(&mut owned_cells).await, 1);
     *fault.lock().unwrap() = Fault::Down;
     ownership.resign().await;
     ownership.resume_taking();
     ownership.check_now();
-    // Also where something else let it go.
+    // The same holds if the entry lost the cell in another way.
     ownership.cell_lost(0);
-    assert_eq!(next(&mut wins).await, 2);
+    assert_eq!(next_epoch(&mut owned_cells).await, 2);
     running.abort();
 }
 
-/// An owner is silent for so long that another entry takes its cell, but wakes and proves its
-/// ownership once more between the other's last look and its write. It goes on to start work ahead
-/// of its claims; the successor counted its doubt from before that proof, took such a key for
-/// fresh, and started it a second time.
+/// Guards against a task that starts twice. An owner is silent for so long that another entry takes
+/// its cell, but it wakes up and proves its ownership once more between the other entry's last read
+/// and its write. Then it may still start work before its claims are written. The new owner assumed
+/// that such starts had ended earlier, counted from before that proof, took such a key for new and
+/// started the task again.
 #[tokio::test]
-async fn a_beat_in_the_last_moment_is_not_overlooked() {
+async fn a_heartbeat_just_before_the_takeover_counts() {
     let memory = MemoryPlatform::open();
     let silent = rows::Owner {
         entry: "entry-1".into(),
@@ -102,29 +109,29 @@
     let value = serde_json::to_string(&silent).unwrap();
     let first = Transaction::put(&rows::cell(0), value);
     memory.store.lock().unwrap().commit(&first);
-    let beat = Transaction::put(&rows::beat(0), "[5,1]".to_owned());
-    memory.store.lock().unwrap().commit(&beat);
+    let heartbeat = Transaction::put(&rows::beat(0), "[5,1]".to_owned());
+    memory.store.lock().unwrap().commit(&heartbeat);
 
     let woke = Arc::new(Mutex::new(None));
     let (waking, store) = (woke.clone(), memory.store.clone());
     let platform = memory.platform_with_faults(Box::new(move |operation| {
         let mut woke = waking.lock().unwrap();
         if operation == Operation::Write && woke.is_none() {
-            let beat = Transaction::put(&rows::beat(0), "[5,2]".to_owned());
-            store.lock().unwrap().commit(&beat);
+            let heartbeat = Transaction::put(&rows::beat(0), "[5,2]".to_owned());
+            store.lock().unwrap().commit(&heartbeat);
             *woke = Some(time::Instant::now());
         }
         Fault::None
     }));
-    let (ownership, mut wins) = open_over(platform);
+    let (ownership, mut owned_cells) = open_over(platform);
     ownership.suspect(0, 5, Suspicion::Silent);
     let running = tokio::spawn(ownership.run());
-    let won = next_win(&mut wins).await;
+    let owned = next_owned(&mut owned_cells).await;
     running.abort();
     let woke = woke.lock().unwrap().expect("the owner woke");
-    assert_eq!(won.epoch, 6);
+    assert_eq!(owned.epoch, 6);
     assert!(
-        won.unclaimed_starts_until >= woke + inherit::TABLE_SIGHT,
-        "doubt ends too soon"
+        owned.unclaimed_starts_until >= woke + inherit::TABLE_SIGHT,
+        "the previous owner may start unclaimed work for longer"
     );
 }
--- a/tests/claims_writer.rs
+++ b/tests/claims_writer.rs
@@ -1,4 +1,4 @@
-//! The writer of claims while the table is down.
+//! The claim writer during an outage of the table.
 
 mod support;
 
@@ -13,8 +13,10 @@
 use support::memory::{Fault, MemoryPlatform};
 use tokio::sync::mpsc;
 
+/// A running claim writer for a cell that is owned in epoch 1, and what it reports.
 struct Writer {
     memory: MemoryPlatform,
+    /// Whether all operations on the table fail.
     down: Arc<Mutex<bool>>,
     claims: mpsc::UnboundedSender<action::Claim>,
     written: mpsc::UnboundedReceiver<id::JobKey>,
@@ -24,9 +26,9 @@
 async fn open() -> Writer {
     let memory = MemoryPlatform::open();
     let down = Arc::new(Mutex::new(false));
-    let failing = down.clone();
+    let is_down = down.clone();
     let platform = memory.platform_with_faults(Box::new(move |_| {
-        if *failing.lock().unwrap() {
+        if *is_down.lock().unwrap() {
             Fault::Down
         } else {
             Fault::None
@@ -38,18 +40,18 @@
         panic!("the cell's row is written: {committed:?}");
     };
     let (claims, rx) = mpsc::unbounded_channel();
-    let (tell_written, written) = mpsc::unbounded_channel();
-    let (tell_refused, refused) = mpsc::unbounded_channel();
+    let (written_tx, written) = mpsc::unbounded_channel();
+    let (refused_tx, refused) = mpsc::unbounded_channel();
     let events = claims::Events {
         written: Box::new(move |claims, _| {
             for claim in claims {
-                let _ = tell_written.send(claim.key.clone());
+                let _ = written_tx.send(claim.key.clone());
             }
         }),
         refused: Box::new(move |keys, code| {
             assert_eq!(code, code::Code::StoreDown);
             for key in keys {
-                let _ = tell_refused.send(key.clone());
+                let _ = refused_tx.send(key.clone());
             }
         }),
         ownership_lost: Box::new(|| panic!("the cell is still owned")),
@@ -85,17 +87,17 @@
     next.expect("it doesn't hang").expect("the writer runs")
 }
 
-/// The table goes down while jobs run. Claims that were to be written behind their starts came in
-/// during the outage, were taken from the channel with those that had to be refused, and were
-/// never written: after the outage nothing told of the jobs but the agents' memories.
+/// Guards against claims that are lost in an outage of the table. Claims that no start waits for
+/// arrived during the outage, were received together with those that had to be refused, and were
+/// never written. After the outage only the agents' records showed that the jobs had run.
 #[tokio::test]
-async fn claims_behind_starts_outlast_an_outage() {
+async fn claims_that_no_start_waits_for_are_written_after_an_outage() {
     let mut writer = open().await;
     *writer.down.lock().unwrap() = true;
     writer.claims.send(claim("school/0", true)).unwrap();
     assert_eq!(next(&mut writer.refused).await, "school/0");
     writer.claims.send(claim("school/1", false)).unwrap();
-    // Known to be down, the table isn't waited for: the refusal comes though no write was tried.
+    // The table is known to be down, so the refusal comes without another attempt to write.
     writer.claims.send(claim("school/2", true)).unwrap();
     assert_eq!(next(&mut writer.refused).await, "school/2");
     *writer.down.lock().unwrap() = false;
--- a/tests/config_file_check.rs
+++ b/tests/config_file_check.rs
@@ -1,4 +1,5 @@
-//! `lovagemill config check`, a case a line: the file, and the place that is named.
+//! `lovagemill config check` on good and bad files: the exit status, and the place in the file that
+//! the message names.
 
 use std::fs;
 use std::path::Path;
@@ -35,7 +36,7 @@
     }
 }
 
-/// The example of the page is what operators start from.
+/// Operators start from the example in the configuration page, so it has to be valid.
 #[test]
 fn the_example_of_the_page_passes() {
     let page = include_str!("../docs/CONFIG.md");
@@ -45,7 +46,7 @@
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-/// The example files are what `load` needs to be in force.
+/// `load` needs the example files' configuration to be in force, so they equal the deployments'.
 #[test]
 fn the_example_files_are_the_deployments() {
     let examples = [
--- a/tests/config_force.rs
+++ b/tests/config_force.rs
@@ -1,4 +1,5 @@
-//! A change of the configuration: accepted everywhere or refused, in force everywhere, never back.
+//! Changes of the configuration: each is accepted once or refused, an accepted one comes into force
+//! in every process, and no process goes back to an older version.
 
 mod support;
 
@@ -24,7 +25,8 @@
 use support::memory::{Fault, MemoryPlatform, Operation};
 use support::path;
 
-fn quiet() -> config::Events {
+/// Callbacks that do nothing.
+fn ignored_events() -> config::Events {
     config::Events {
         changed: Box::new(|_| {}),
         behind: Box::new(|_| {}),
@@ -32,13 +34,13 @@
 }
 
 /// The document in the table, with its version.
-fn written(memory: &MemoryPlatform) -> class::Versioned {
+fn stored_document(memory: &MemoryPlatform) -> class::Versioned {
     let row = memory.store.lock().unwrap().get("config").unwrap();
     serde_json::from_str(&row.value).unwrap()
 }
 
-/// A platform, and the switch that takes it away.
-fn cuttable(memory: &MemoryPlatform) -> (Arc<AtomicBool>, platform::Platform) {
+/// Returns a platform and the flag that makes all of its operations fail.
+fn platform_with_switch(memory: &MemoryPlatform) -> (Arc<AtomicBool>, platform::Platform) {
     let cut: Arc<AtomicBool> = Arc::default();
     let cutting = cut.clone();
     let faults = move |_| {
@@ -51,9 +53,9 @@
     (cut, memory.platform_with_faults(Box::new(faults)))
 }
 
-/// A target that was accepted is gone, though nobody changed it back.
-/// Operators change the same version at once, and some of the table's answers are lost after the
-/// write took effect. An answer that says "accepted" has to be true, and of one version only once.
+/// Guards against an accepted change that is lost. Several operators change the same version at
+/// once, and some of the table's answers are lost after the write took effect. Each version must be
+/// accepted at most once, and an accepted change must be in the table.
 #[test]
 fn racing_operators_and_lost_answers_accept_each_version_once() {
     support::block_on(async {
@@ -74,7 +76,7 @@
             operators.push(tokio::spawn(async move {
                 for change in 0..6 {
                     let target = 1_000 + 100 * operator as i64 + change;
-                    let base = written(&memory).version;
+                    let base = stored_document(&memory).version;
                     let document = path::document(target);
                     if let Ok(version) = config.change(base, document).await {
                         let before = accepted.lock().unwrap().insert(version, target);
@@ -88,7 +90,7 @@
         }
         let accepted = accepted.lock().unwrap();
         assert!(!accepted.is_empty());
-        let last = written(&memory);
+        let last = stored_document(&memory);
         if let Some(target) = accepted.get(&last.version) {
             assert_eq!(last.document.classes[0].target_ms, *target);
         }
@@ -107,14 +109,14 @@
         };
         let config = config::open(memory.platform_with_faults(Box::new(faults)).table);
         assert_eq!(config.change(1, path::document(900)).await, Ok(2));
-        assert_eq!(written(&memory).version, 2);
+        assert_eq!(stored_document(&memory).version, 2);
         assert_eq!(config.version(), 2, "in force where it was accepted");
     });
 }
 
-/// An operator is told that the change was refused, and it had been in force.
-/// The answer of the accepted write is lost, and another operator's change comes before the first
-/// one looks what became of it.
+/// Guards against a change that is reported as refused although it was in force. The answer to the
+/// write is lost, and another operator changes the configuration before the first one reads the
+/// table to find out whether its own change took effect.
 #[test]
 fn change_whose_answer_was_lost_is_found_under_a_later_one() {
     support::block_on(async {
@@ -130,7 +132,7 @@
             let read = reading(key);
             let memory = looking.clone();
             Box::pin(async move {
-                if written(&memory).version == 2 {
+                if stored_document(&memory).version == 2 {
                     let other = config::open(memory.platform().table);
                     assert_eq!(other.change(2, path::document(800)).await, Ok(3));
                 }
@@ -139,7 +141,7 @@
         });
         let config = config::open(table);
         assert_eq!(config.change(1, path::document(900)).await, Ok(2));
-        assert_eq!(written(&memory).version, 3);
+        assert_eq!(stored_document(&memory).version, 3);
     });
 }
 
@@ -177,10 +179,10 @@
     });
 }
 
-/// A change is in force for a moment, and then the old targets are back.
-/// A read that was slow brings the older document after a quicker read brought the newer one.
+/// Guards against a process that goes back to an older version: a slow read returns the older
+/// document after a faster read returned the newer one.
 #[test]
-fn read_that_comes_late_brings_nothing_back() {
+fn late_read_does_not_bring_an_older_version_back() {
     support::block_on(async {
         let reads: Arc<AtomicU64> = Arc::default();
         let counting = reads.clone();
@@ -200,7 +202,7 @@
             Box::pin(async move { Ok(Some(row)) })
         });
         let config = config::open(table);
-        tokio::spawn(config.clone().run(quiet()));
+        tokio::spawn(config.clone().run(ignored_events()));
         support::until("a version", || config.version() == 3).await;
         config.note_version(4);
         support::until("a late read", || reads.load(Ordering::SeqCst) >= 2).await;
@@ -246,8 +248,8 @@
     }
 }
 
-/// An entry behind a broken route to the table serves by old targets for as long as that lasts.
-/// Its links to other entries work, but they told only that there is a newer version.
+/// Guards against an entry that keeps serving with old targets for as long as it can't reach the
+/// table. Its links to other entries worked, but they carried only the number of the newer version.
 #[test]
 fn entry_that_cant_read_the_table_gets_the_document_from_a_peer() {
     support::block_on(async {
@@ -255,13 +257,13 @@
         path::configure(&memory);
         let first = open("entry-0", memory.platform()).await;
         support::until("an owner", || first.owns_any()).await;
-        let (cut, platform) = cuttable(&memory);
+        let (cut, platform) = platform_with_switch(&memory);
         let second = open("entry-1", platform).await;
         support::until("the second is ready", || second.is_ready()).await;
         cut.store(true, Ordering::SeqCst);
         assert_eq!(change(&first, 1, 700).await["version"], 2);
         until_version(&second, 2).await;
-        // And the other way round: the owner is cut off, the change comes in at the other entry.
+        // `owner_that_cant_read_the_table_gets_the_document_from_a_peer` covers the other direction.
         let status = get(&second, "/v1/status").await.1;
         assert_eq!(status["stragglers"], serde_json::json!([]));
         assert_eq!(status["other_versions"]["entry-0"], 2);
@@ -270,11 +272,11 @@
     });
 }
 
-/// An accepted change is in force nowhere.
-/// The entry that took it died between the table's answer and its first word to the others. The
-/// owner finds the change at its next look, and its messages send the others to read.
+/// Guards against an accepted change that comes into force nowhere. The entry that made it dies
+/// after the table's answer and before its first message to the others. The owner finds the change
+/// when it next reads the watched rows, and its messages make the others read the document.
 #[test]
-fn change_that_nobody_tells_of_is_found() {
+fn change_of_an_entry_that_died_is_found() {
     support::block_on(async {
         let memory = MemoryPlatform::open();
         path::configure(&memory);
@@ -289,13 +291,14 @@
     });
 }
 
-/// The owner is cut off from the table and a change comes in at another entry.
+/// Guards against an owner that keeps old targets: it can't reach the table, and a change is made
+/// at another entry.
 #[test]
 fn owner_that_cant_read_the_table_gets_the_document_from_a_peer() {
     support::block_on(async {
         let memory = MemoryPlatform::open();
         path::configure(&memory);
-        let (cut, platform) = cuttable(&memory);
+        let (cut, platform) = platform_with_switch(&memory);
         let owner = open("entry-0", platform).await;
         support::until("an owner", || owner.owns_any()).await;
         let second = open("entry-1", memory.platform()).await;
--- a/tests/config_head.rs
+++ b/tests/config_head.rs
@@ -1,4 +1,5 @@
-//! When a process reads the watched rows for itself, and the bounds that follow.
+//! When a process reads the watched rows itself, and the bounds on the delay of a change that
+//! follow.
 
 use std::time;
 
@@ -9,8 +10,9 @@
     time::Duration::from_millis(ms)
 }
 
-/// The longest way of a change: the owner reads just before it, looks again, its next message
-/// leaves after a heartbeat's pause, and the hearer reads rows and document.
+/// The slowest propagation of a change: the owner reads just before the change and once more after
+/// its pause, its next message is sent one heartbeat interval later, and the receiver reads the
+/// watched rows and then the document.
 #[test]
 fn bounds_add_up_to_less_than_five_seconds() {
     let reads = ms(2 * 500);
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn fresh_news_of_the_same_rows_puts_a_read_off_but_not_an_owners() {
+fn fresh_digest_of_the_same_rows_delays_a_read_but_not_an_owners() {
     let start = time::Instant::now();
     let mut sight = Sight::default();
     assert!(sight.read(start, 7));
@@ -36,11 +38,11 @@
     assert_eq!(sight.due_in(later, true), ms(0));
 }
 
-/// An entry serves the old configuration for minutes.
-/// Its peer can't read the table any more, and went on telling the digest that it had. News carry
-/// the age of the read behind them, so old ones put nothing off.
+/// Guards against an entry that serves an old configuration for minutes. Its peer couldn't read the
+/// table any more and kept sending the digest of its last read. A digest carries the age of the
+/// read behind it, so an old one doesn't delay this entry's own read.
 #[test]
-fn old_news_put_nothing_off() {
+fn old_digest_delays_no_read() {
     let start = time::Instant::now();
     let mut sight = Sight::default();
     sight.read(start, 7);
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn news_pass_on_the_age_of_the_read_they_come_from() {
+fn digest_that_is_passed_on_keeps_the_age_of_its_read() {
     let start = time::Instant::now();
     let mut sight = Sight::default();
     sight.read(start, 7);
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn process_that_has_read_nothing_reads_at_the_first_news() {
+fn process_that_has_read_nothing_reads_at_the_first_digest() {
     let now = time::Instant::now();
     let mut sight = Sight::default();
     assert!(sight.hear(now, 0, ms(0)));
--- a/tests/fault_cancel.rs
+++ b/tests/fault_cancel.rs
@@ -1,4 +1,4 @@
-//! What may be said of a job that its caller cancels while owners change.
+//! What an owner may answer for a job that its caller cancels while the ownership changes.
 
 mod decide_support;
 
@@ -21,21 +21,23 @@
     actions.iter().filter_map(outcome).collect()
 }
 
-/// An entry dies with a job that runs. Its caller cancels the job through another entry before it
-/// submits it again, and the successor has not heard of it. "Not found" was said to mean "not run",
-/// and the caller gave the work to somebody else while it ran.
+/// Guards against "not run" for a job that runs. An entry dies while a job runs, and the caller
+/// cancels the job through another entry before it submits it again. The new owner doesn't know the
+/// job. Its answer "not found" meant "not run", so the caller gave the work to somebody else while
+/// it ran.
 #[test]
-fn cancel_of_an_unknown_job_is_no_proof() {
+fn cancelling_an_unknown_job_does_not_prove_that_it_did_not_run() {
     let Fake { mut owner, now, .. } = decide_support::open(0);
     owner.cancel(now, &"canoas/k".into(), 1);
     assert_eq!(outcomes(&owner.actions()), [code::Outcome::Unknown]);
 }
 
-/// A job waits for its claim and is cancelled before anything of it ran. The caller that submitted
-/// it doesn't hear of that, since the entry dies with the answer, and submits it again: a successor
-/// runs it, while the one who cancelled it had been told "not run".
+/// Guards against "not run" for a job that runs later. A job waits for its claim and is cancelled
+/// before any of its tasks ran. The caller that submitted it never gets the answer, since the entry
+/// dies, and submits the job again. The next owner runs it, although the caller that cancelled it
+/// had been told "not run".
 #[test]
-fn cancel_before_the_start_is_no_proof() {
+fn cancelling_before_the_start_does_not_prove_that_the_job_will_not_run() {
     let Fake { mut owner, now, .. } = decide_support::open(0);
     let job = decide_support::submission("canoas/k", None, decide_support::tasks(1, 1, 100));
     owner.submit(now, Arc::new(job), 1);
--- a/tests/fault_doubt.rs
+++ b/tests/fault_doubt.rs
@@ -1,4 +1,4 @@
-//! For how long new work is doubtful after an owner and an agent were lost together.
+//! For how long new work may already have run after an owner and an agent were lost together.
 
 use std::time;
 
@@ -6,11 +6,12 @@
 
 const TAKEN_AT: time::Duration = time::Duration::from_secs(1_000_000);
 
-/// The knowledge of an owner that took over while one agent stays away.
-fn successor(doubt: time::Duration) -> Inheritance {
+/// The knowledge of an owner that took over while one agent doesn't come back. The previous owner
+/// may have started work without a claim until the time given.
+fn successor(unclaimed_starts_until: time::Duration) -> Inheritance {
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
-    inheritance.doubt_until(doubt);
+    inheritance.doubt_until(unclaimed_starts_until);
     let life = inherit::Life {
         agent: "a".into(),
         incarnation: 1,
@@ -25,32 +26,34 @@
     inheritance.look(&"canoas/k".into(), 1, Some(minted))
 }
 
-/// A failure domain is lost with the owner in it. The others watch its beats stand still for
-/// seconds, take over, and meanwhile callers submit new work: all of it was answered "unknown",
-/// though the dead owner's sight of the table, and with it its right to start, had long ended.
+/// Guards against new work that is refused as "unknown" without need. A failure domain is lost with
+/// the owner in it. The other entries see no new heartbeat for seconds and take over, and meanwhile
+/// callers submit new work. All of it was answered "unknown", although the dead owner's last proof
+/// of ownership, without which it may not start unclaimed work, was long too old.
 #[test]
-fn work_minted_after_the_sight_of_the_dead_owner_is_fresh() {
-    let doubt = TAKEN_AT - time::Duration::from_secs(2);
-    let inheritance = successor(doubt);
-    let minted = doubt + 2 * inherit::CLOCK_SKEW;
+fn work_minted_after_the_dead_owner_could_start_it_is_new() {
+    let unclaimed_starts_until = TAKEN_AT - time::Duration::from_secs(2);
+    let inheritance = successor(unclaimed_starts_until);
+    let minted = unclaimed_starts_until + 2 * inherit::CLOCK_SKEW;
     assert_eq!(look(&inheritance, minted), Found::Fresh);
 }
 
-/// As above, but the work was minted while the owner may have lived, by clocks that differ as much
-/// as they may. It may run on the agent that is away.
+/// As above, but the work was minted while the previous owner may still have started it, by clocks
+/// that differ as much as they may. So it may run on the missing agent.
 #[test]
-fn work_minted_within_the_sight_of_the_dead_owner_is_doubtful() {
-    let doubt = TAKEN_AT - time::Duration::from_secs(2);
-    let inheritance = successor(doubt);
-    let minted = doubt + 2 * inherit::CLOCK_SKEW - time::Duration::from_millis(1);
+fn work_minted_while_the_dead_owner_could_start_it_may_have_run() {
+    let unclaimed_starts_until = TAKEN_AT - time::Duration::from_secs(2);
+    let inheritance = successor(unclaimed_starts_until);
+    let minted = unclaimed_starts_until + 2 * inherit::CLOCK_SKEW - time::Duration::from_millis(1);
     assert_eq!(look(&inheritance, minted), Found::MayHaveRun);
 }
 
-/// An owner and an agent are lost together, before the claim of a running job is written. The agent
-/// comes back with a new life, and only seconds later another entry takes over, since it was paused.
-/// The old life's loss then counted as long past, and the job that was submitted again ran twice.
+/// Guards against a job that runs twice. An owner and an agent are lost together before the claim
+/// of a running job is written. The agent comes back with a new incarnation, and another entry,
+/// which was paused, takes over only seconds later. The loss of the old incarnation counted as long
+/// past, so the job ran again when it was submitted again.
 #[test]
-fn work_that_a_life_lost_long_before_the_takeover_may_have_run_is_doubtful() {
+fn work_of_an_incarnation_lost_long_before_the_takeover_may_have_run() {
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
     let lost = TAKEN_AT - time::Duration::from_secs(8);
@@ -63,7 +66,7 @@
     inheritance.claims(Vec::new());
     let before = lost - time::Duration::from_secs(1);
     assert_eq!(look(&inheritance, before), Found::MayHaveRun);
-    // An owner takes keys for old enough up to its sight of the table ahead.
+    // An owner also starts keys that were minted up to this time after its last proof of ownership.
     let last = lost + inherit::TABLE_SIGHT + 2 * inherit::CLOCK_SKEW;
     let within = last - time::Duration::from_millis(1);
     assert_eq!(look(&inheritance, within), Found::MayHaveRun);
--- a/tests/fault_leave.rs
+++ b/tests/fault_leave.rs
@@ -1,4 +1,4 @@
-//! Planned leaves that meet a change of owner.
+//! An agent's planned leave shortly before a change of owner.
 
 use std::sync::Arc;
 use std::time;
@@ -13,12 +13,13 @@
 use lovagemill::demo::workload::Arrival;
 use lovagemill::standin::truth::Truth;
 
-/// Longest that an agent waits for acknowledgements: nothing, so that it leaves without them.
+/// How long an agent waits for acknowledgements before it leaves: zero, so it leaves without them.
 const LINGER: time::Duration = time::Duration::ZERO;
 
-/// A job ends, and its caller's connection is lost with the answer. An agent that had run some of
-/// its tasks is stopped as planned and leaves; then the owner dies. The caller submits again: the
-/// successor found the job's claim and nobody who had seen the tasks, and started them again.
+/// Guards against tasks that start twice. A job ends, and the caller's connection is lost with the
+/// answer. An agent that ran some of the tasks is stopped as planned and leaves, then the owner
+/// dies, and the caller submits the job again. The new owner found the job's claim but no agent
+/// that knew these tasks, and started them again.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_of_an_agent_that_left_are_not_started_again() {
     let mut deployment = deployment::trilha();
@@ -63,6 +64,8 @@
     assert_eq!(truth.started_twice(), []);
     match ended {
         Ended::Refused(refusal) => assert!(refusal.unknown, "{refusal:?}"),
-        other => panic!("nobody is left who knows the answer, and yet: {other:?}"),
+        other => {
+            panic!("no process is left that knows the answer, but the job ended with: {other:?}")
+        }
     }
 }
--- a/tests/fault_resumed_job.rs
+++ b/tests/fault_resumed_job.rs
@@ -1,4 +1,4 @@
-//! Jobs of a dead owner whose agents are lost before the jobs are taken up again.
+//! Jobs of a dead owner whose agents are lost before the jobs are submitted again.
 
 mod decide_support;
 
@@ -41,7 +41,8 @@
     }
 }
 
-/// An owner that took over and heard from agent `a`, life 1, that it runs the only task of a job.
+/// An owner that took over and to which agent `a`, incarnation 1, reported that it runs the only
+/// task of a job.
 fn successor(now: time::Instant, key: &str) -> owner::Owner {
     let policy = owner::Policy::default();
     let mut owner = owner::Owner::open(2, policy, decide_support::config(), now, TAKEN_AT);
@@ -83,12 +84,12 @@
     actions.iter().filter(start).count()
 }
 
-/// An entry dies, and its successor hears from an agent that a job's task runs there. The agent
-/// dies and comes back with a new life, and only then the caller submits its job again. The new
-/// life has never seen the task and says so, which the successor took for the proof that the task
-/// could be started: it ran twice.
+/// Guards against a task that runs twice. An entry dies, and an agent reports to the new owner that
+/// a job's task runs there. The agent dies and comes back with a new incarnation, and only then the
+/// caller submits its job again. The new incarnation reports that it doesn't know the task, which
+/// the new owner took as proof that it may start the task.
 #[test]
-fn task_of_a_lost_life_is_not_started_again() {
+fn task_of_a_lost_incarnation_is_not_started_again() {
     let now = time::Instant::now();
     let mut owner = successor(now, "canoas/k");
     owner.handle_welcome(now, &"a".into(), welcome(2, Vec::new()), load());
@@ -98,7 +99,7 @@
         job: "canoas/k".into(),
         index: 0,
     };
-    // It covers whatever start is under way.
+    // The highest attempt number covers any start that is under way.
     let attempt = u32::MAX;
     let asked = order::Attempt { id, attempt };
     let withdrawn = notice::Notice::Standing(asked, ledger::Standing::Withdrawn);
@@ -110,10 +111,11 @@
     assert_eq!(answered(&actions), Some(Code::WorkerLost));
 }
 
-/// As above, but the agent stays away. Nobody is left to ask for the task, and the caller waited
-/// for its whole target where it could have been told at once that nobody can know.
+/// Guards against a caller that waits for its whole target in vain. As above, but the agent doesn't
+/// come back, so no process can say whether the task ran. The caller has to get that answer at
+/// once.
 #[test]
-fn task_of_an_agent_that_stays_away_ends_at_once() {
+fn task_of_an_agent_that_does_not_come_back_ends_at_once() {
     let now = time::Instant::now();
     let mut owner = successor(now, "canoas/k");
     owner.agent_link_lost(now, &"a".into());
@@ -124,8 +126,9 @@
     assert_eq!(answered(&owner.actions()), Some(Code::WorkerLost));
 }
 
-/// The link to an agent breaks for less than it takes to give the agent up, and in that moment a
-/// job of the dead owner is submitted again. The agent lives, so its task has to be awaited.
+/// Guards against giving up a task that still runs. The link to an agent breaks, for a shorter time
+/// than it takes to give the agent up, and meanwhile a job of the dead owner is submitted again.
+/// The agent is alive, so the owner has to wait for the task.
 #[test]
 fn task_of_an_agent_that_is_silent_for_a_moment_is_awaited() {
     let now = time::Instant::now();
--- a/tests/fault_runs.rs
+++ b/tests/fault_runs.rs
@@ -1,4 +1,5 @@
-//! Short runs of the whole path under faults; `lovagemill demo --all-pairs` runs all of them.
+//! Short runs of all parts together under pairs of faults; `lovagemill demo --all-pairs` runs every
+//! pair.
 
 use std::time;
 
@@ -8,6 +9,8 @@
 use lovagemill::demo::fault::Fault;
 use lovagemill::demo::report;
 
+/// Runs callers, entries, agents and backend servers under the faults given, and checks that no
+/// promise was broken and no submission was lost.
 async fn run(faults: &[Fault]) -> report::Report {
     let cfg = demo::Config {
         deployment: deployment::trilha(),
@@ -27,29 +30,30 @@
     report
 }
 
-/// The owner dies, and an agent dies while its successor still gathers what ran. Callers lose their
-/// answers and submit again through other entries; each gets one ending, and nothing runs twice.
+/// The owner dies, and an agent dies while the new owner still finds out what ran. Callers lose
+/// their answers and submit again through other entries; each job gets one ending, and no task runs
+/// twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn owner_and_agent_die() {
     run(&[Fault::EntryDeath, Fault::AgentDeath]).await;
 }
 
-/// Every open connection goes silent for good, and callers cancel many jobs meanwhile. What was on
-/// its way is asked for by key on new connections; no job is said not to have run that ran.
+/// All open connections go silent for good, and callers cancel many jobs meanwhile. Callers ask for
+/// lost answers by key on new connections; no job that ran is answered with "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_go_silent_under_cancellations() {
     run(&[Fault::SilentConnection, Fault::CancelWave]).await;
 }
 
 /// The table is down, and answers to writes are lost before and after. Work that needs no claim
-/// ahead goes on, the rest is refused as not run, and truly so.
+/// before its start goes on; the rest is refused as "not run" and indeed doesn't run.
 #[tokio::test(flavor = "multi_thread")]
 async fn table_is_down_and_loses_answers() {
     run(&[Fault::LostWriteAnswers, Fault::TableDown]).await;
 }
 
 /// Operators change the configuration through different entries at once while the owner dies. One
-/// change is accepted per version, and no entry goes back.
+/// change is accepted for each version, and no entry goes back to an older version.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_race_while_the_owner_dies() {
     let report = run(&[Fault::OperatorRace, Fault::EntryDeath]).await;
