--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,8 +1,8 @@
 //! Explores the shipped claim, fence, takeover and join code breadth first, over all orders of
 //! what can happen within stated bounds (`docs/design/claims.md` has the specification).
 
+mod digest;
 mod moves;
-mod print;
 mod world;
 
 use std::cell::Cell;
@@ -20,7 +20,7 @@
         let mut ledger = ledger::Ledger::default();
         ledger.join(0);
         Agent {
-            ledger: print::Part::open(ledger),
+            ledger: digest::Part::open(ledger),
             life: 1,
             joining: Joining::Joined,
             owner: None,
@@ -35,7 +35,7 @@
     let mut agents = [agent(), agent()];
     let mut rows = [row(), row()];
     if bounds.newcomer {
-        agents[1].ledger = print::Part::default();
+        agents[1].ledger = digest::Part::default();
         agents[1].joining = Joining::Nothing;
         rows[1] = Row::default();
     }
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -14,7 +14,7 @@
 use lovagemill::submission;
 use lovagemill::task;
 
-use crate::print;
+use crate::digest;
 use crate::world::{self, Joining, Message, Mutation, Node, Owning, Row, World, AGENTS, ENTRIES};
 
 /// The worlds that can follow.
@@ -288,9 +288,9 @@
     let owner = owner::Owner::open(epoch, world::policy(), world::config(), now, wall);
     w.entries[e].owning = Some(Owning {
         epoch,
-        owner: print::Part::open(owner),
+        owner: digest::Part::open(owner),
         members: false,
-        pending: print::Part::default(),
+        pending: digest::Part::default(),
         links: [None; AGENTS],
         greeted: [None; AGENTS],
         blind: false,
@@ -470,7 +470,7 @@
     }
     w.used.agent_deaths += 1;
     let agent = &mut w.agents[a];
-    agent.ledger = print::Part::open(ledger::Ledger::default());
+    agent.ledger = digest::Part::open(ledger::Ledger::default());
     agent.life += 1;
     agent.joining = Joining::Nothing;
     agent.owner = None;
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -16,7 +16,7 @@
 use lovagemill::submission;
 use xxhash_rust::xxh3;
 
-use crate::print;
+use crate::digest;
 
 pub const ENTRIES: usize = 2;
 pub const AGENTS: usize = 2;
@@ -111,15 +111,15 @@
     pub owner: Option<usize>,
     pub epoch: id::Epoch,
     pub rows: [Row; AGENTS],
-    pub claims: print::Part<Vec<inherit::Claimed>>,
+    pub claims: digest::Part<Vec<inherit::Claimed>>,
 }
 
 #[derive(Clone, Debug, Hash)]
 pub struct Owning {
     pub epoch: id::Epoch,
-    pub owner: print::Part<owner::Owner>,
+    pub owner: digest::Part<owner::Owner>,
     pub members: bool,
-    pub pending: print::Part<Vec<action::Claim>>,
+    pub pending: digest::Part<Vec<action::Claim>>,
     /// The life that the link of each agent belongs to, and to which a hello is under way.
     pub links: [Option<id::Incarnation>; AGENTS],
     pub greeted: [Option<id::Incarnation>; AGENTS],
@@ -144,7 +144,7 @@
 
 #[derive(Clone, Debug, Hash)]
 pub struct Agent {
-    pub ledger: print::Part<ledger::Ledger>,
+    pub ledger: digest::Part<ledger::Ledger>,
     pub life: id::Incarnation,
     pub joining: Joining,
     pub owner: Option<(usize, id::Epoch)>,
