--- a/src/decide/besteffort/asking.rs
+++ b/src/decide/besteffort/asking.rs
@@ -1,9 +1,10 @@
-//! Which agents an entry asks for room when work waits.
+//! Chooses the agents that an entry asks for room when work waits.
 //!
-//! Answers bursts over the workers' room, with many entries and agents. Told of every slot that comes
-//! free, all entries would send to it at once, and all but one start would come back; so an entry asks
-//! a few agents, and an agent lends what comes free to one of those that asked. What waits rides on
-//! every line that leaves anyway; only the first few agents get a line for it.
+//! Made for bursts that exceed the room of the backend servers, with many entries and agents. If every entry
+//! heard of each slot that becomes free, all would send a start to it at once, and all but one start would
+//! come back. So an entry asks a few agents, and an agent lends free room to one of the entries that asked.
+//! The waiting work is part of every message that is sent anyway; only the first few agents get a message for
+//! it alone.
 
 use std::collections::BTreeMap;
 use std::ops;
@@ -11,58 +12,63 @@
 
 use crate::decide::besteffort::job::LinkNo;
 
-/// Agents that are asked at a time.
-const AT_ONCE: usize = 6;
+/// Number of agents that are asked at a time.
+const ASKED_AT_ONCE: usize = 6;
 
-/// Pause before the next ones are asked while work still waits; longer than an exchange between
-/// failure domains and the turn of a busy entry.
-const PAUSE: time::Duration = time::Duration::from_millis(10);
+/// Pause before the next agents are asked while work still waits. It is longer than an exchange between
+/// failure domains and one pass of a busy entry.
+const ASK_PAUSE: time::Duration = time::Duration::from_millis(10);
 
-/// What agents know of this entry's needs.
+/// What the agents have been told of this entry's waiting work.
 #[derive(Debug, Default)]
 pub struct RoomRequests {
-    /// Urgency of the work that an agent believes to wait here, by its link.
-    told: BTreeMap<LinkNo, u32>,
-    /// The link that was asked last; the next ones follow it.
-    last: LinkNo,
+    /// By link, the priority of the waiting work as the agent was told.
+    told_priorities: BTreeMap<LinkNo, u32>,
+    /// The link that was asked last; the links after it are asked next.
+    last_asked: LinkNo,
     asked_at: time::Duration,
 }
 
 impl RoomRequests {
-    /// A line leaves on a link, and says how urgent what waits is; none if nothing waits.
+    /// Records that a message was sent on a link, and which priority of waiting work it told; none if nothing
+    /// waited.
     pub fn message_sent(&mut self, link: LinkNo, priority: Option<u32>) {
         match priority {
-            Some(priority) => self.told.insert(link, priority),
-            None => self.told.remove(&link),
+            Some(priority) => self.told_priorities.insert(link, priority),
+            None => self.told_priorities.remove(&link),
         };
     }
 
-    /// A link is gone.
+    /// Forgets a link that has ended.
     pub fn link_closed(&mut self, link: LinkNo) {
-        self.told.remove(&link);
+        self.told_priorities.remove(&link);
     }
 
-    /// Work of some urgency waits now: the links on which to say so at once. An agent that believes
-    /// what waits to be less urgent doesn't know yet.
+    /// Returns the links on which to announce work of a priority at once. An agent that was told of less
+    /// urgent work, or of none, doesn't know of it yet.
     pub fn links_to_ask<T>(
         &mut self,
         now: time::Duration,
         priority: u32,
         links: &BTreeMap<LinkNo, T>,
     ) -> Vec<LinkNo> {
-        if now < self.asked_at + PAUSE {
+        if now < self.asked_at + ASK_PAUSE {
             return Vec::new();
         }
         self.asked_at = now;
-        let after = links.range((ops::Bound::Excluded(self.last), ops::Bound::Unbounded));
-        let around = after.chain(links.range(..=self.last));
-        let knows = |link: &LinkNo| self.told.get(link).is_some_and(|told| *told <= priority);
+        let after = links.range((ops::Bound::Excluded(self.last_asked), ops::Bound::Unbounded));
+        let around = after.chain(links.range(..=self.last_asked));
+        let knows = |link: &LinkNo| {
+            self.told_priorities
+                .get(link)
+                .is_some_and(|told_priorities| *told_priorities <= priority)
+        };
         let due: Vec<LinkNo> = around
             .map(|(link, _)| *link)
             .filter(|link| !knows(link))
-            .take(AT_ONCE)
+            .take(ASKED_AT_ONCE)
             .collect();
-        self.last = due.last().copied().unwrap_or(self.last);
+        self.last_asked = due.last().copied().unwrap_or(self.last_asked);
         due
     }
 }
--- a/src/decide/besteffort/board/agents.rs
+++ b/src/decide/besteffort/board/agents.rs
@@ -1,4 +1,4 @@
-//! What the word, the silence and the return of an agent mean for the tasks that it has.
+//! What an agent's messages, its silence and its return mean for the runs that it has.
 
 use std::collections::BTreeSet;
 use std::time;
@@ -9,22 +9,25 @@
 use crate::decide::besteffort::view::AgentView;
 use crate::id;
 
-/// How far run numbers jump after a start that didn't begin; a second's worth.
-const RUN_STEP: u64 = 1_000;
+/// By how much a job's run numbers jump after a start that didn't begin. Run numbers are drawn from a clock
+/// in milliseconds: this is one second.
+const RUN_NUMBER_STEP: u64 = 1_000;
 
-/// How long a process that stood still listens before it gives up agents that it hasn't heard: each
-/// speaks within one and a quarter heartbeats (150 ms), asked or not.
-const HEARD_AGAIN: time::Duration = time::Duration::from_millis(200);
+/// How long a process that was suspended waits for messages before it closes links to silent agents. Each
+/// agent sends within one and a quarter heartbeats (150 ms), asked or not.
+const RESUME_GRACE: time::Duration = time::Duration::from_millis(200);
 
-/// Time without a new agent after which an entry has found those that are there: a failed connect of an
-/// agent and the pause after it take 130 ms.
-const QUIET: time::Duration = time::Duration::from_millis(150);
+/// Time without a new link after which an entry counts as linked to all agents that are there. A failed
+/// connect of an agent and the pause after it take 130 ms.
+const LINKS_QUIET_FOR: time::Duration = time::Duration::from_millis(150);
 
-/// Longest that this is waited for after the start; machines that start together do so within 300 ms.
-const SETTLES_WITHIN: time::Duration = time::Duration::from_millis(800);
+/// Longest time after the start that an entry waits for new links; machines that start together do so within
+/// 300 ms.
+const MAX_LINKS_WAIT: time::Duration = time::Duration::from_millis(800);
 
 impl Board {
-    /// An agent has connected and said what it has of ours. What it doesn't name doesn't run.
+    /// Takes in that an agent has connected and has named its runs of this entry. A run that it doesn't name
+    /// is lost.
     pub fn agent_up(&mut self, now: time::Duration, link: LinkNo, hello: &Hello) {
         let known = self.agents.get(&hello.agent);
         if let Some(old) = known.and_then(|view| view.link) {
@@ -37,8 +40,8 @@
         let view =
             view.or_insert_with(|| AgentView::open(self.policy.barring, agent.clone(), life, now));
         if view.incarnation != life {
-            // What an earlier life said of its backend server isn't this one's word: starts would go to
-            // an agent that knows of none, and come back one after the other.
+            // The backend server that an earlier incarnation of the agent announced may be unknown to this
+            // one. Starts would go to it and come back one after the other.
             *view = AgentView::open(self.policy.barring, agent.clone(), life, now);
         }
         view.failure_domain = hello.failure_domain.clone();
@@ -56,17 +59,19 @@
         }
     }
 
-    /// Whether the agents have found this entry after its start: none has come for a moment. Before that
-    /// its own view of the room tells little, and work is refused that the next agent would take.
+    /// Whether the entry has been linked to its agents after its start: no new link has come up for a moment.
+    /// Before that the entry knows too little of the room, and would refuse work that the next agent accepts.
     pub fn has_found_agents(&self, now: time::Duration) -> bool {
         let longest = self
             .first_tick_at
-            .is_some_and(|born| now > born + SETTLES_WITHIN);
-        let quiet = self.last_linked_at.is_some_and(|last| now > last + QUIET);
+            .is_some_and(|born| now > born + MAX_LINKS_WAIT);
+        let quiet = self
+            .last_linked_at
+            .is_some_and(|last| now > last + LINKS_QUIET_FOR);
         longest || quiet
     }
 
-    /// Takes back every run of an agent that isn't there any more.
+    /// Requeues the tasks whose runs an agent no longer has; `is_there` tells which it still has.
     fn requeue_missing_runs(
         &mut self,
         now: time::Duration,
@@ -91,7 +96,7 @@
         }
     }
 
-    /// A line of an agent.
+    /// Takes in a message of an agent.
     pub fn handle_message(&mut self, now: time::Duration, link: LinkNo, line: &AgentMessage) {
         let Some(agent) = self.links.get(&link).cloned() else {
             return;
@@ -120,8 +125,8 @@
         }
     }
 
-    /// Backend servers have crashed. Jobs with a task that was there each time are given up, before the
-    /// task can go to the next one.
+    /// Records crashes of an agent's backend server. A job with a task that was present each time fails
+    /// before the task can go to another backend server.
     fn record_crashes(&mut self, now: time::Duration, agent: &str, crashes: &[Crash]) {
         let Some(life) = self.agents.get(agent).map(|view| view.incarnation) else {
             return;
@@ -132,7 +137,7 @@
         self.fail_crashing_jobs(now, crashes);
     }
 
-    /// Gives up the jobs whose tasks have caused some crashes.
+    /// Fails the jobs whose tasks are the cause of one of `crashes`.
     pub(super) fn fail_crashing_jobs(&mut self, now: time::Duration, crashes: &[Crash]) {
         for name in crashes.iter().flat_map(Crash::suspects) {
             let Some(no) = self.find_job(&name.job) else {
@@ -156,7 +161,8 @@
             "job is given up since backend servers crash under its task");
     }
 
-    /// The link to an agent is gone. Its runs may go on until [`Bounds::runs_end_within`].
+    /// Takes in that the link to an agent is gone. The agent's runs may go on for
+    /// [`Bounds::runs_end_within`](crate::decide::besteffort::lease::Bounds::runs_end_within).
     pub fn agent_down(&mut self, now: time::Duration, link: LinkNo) {
         let Some(agent) = self.links.remove(&link) else {
             return;
@@ -225,9 +231,9 @@
                 self.requeue_task(now, no, end.run.task);
             }
             RunOutcome::NotRun | RunOutcome::Rejected => {
-                // A run number that a backend server takes for an old one is too small because the
-                // clock that it came from was set back.
-                job.next_run_number += RUN_STEP;
+                // A backend server rejects a run number that is smaller than one that it knows. That happens
+                // where the clock that the number came from was set back.
+                job.next_run_number += RUN_NUMBER_STEP;
                 self.counts.bounced += 1;
                 if let Some(view) = self.agents.get_mut(&placed.agent) {
                     view.had_no_room(now);
@@ -276,7 +282,7 @@
         }
     }
 
-    /// A run that an agent has, by what is known here.
+    /// Returns a run if, by the entry's knowledge, the agent has it.
     pub(super) fn placed_run(&mut self, run: &Run, agent: &str) -> Option<(JobNo, &mut PlacedRun)> {
         let no = *self.by_id.get(&run.job)?;
         let job = self.jobs.get_mut(&no)?;
@@ -288,11 +294,11 @@
         }
     }
 
-    /// Gives up the links to agents that aren't heard. Not right after this process stood still: what
-    /// they said meanwhile waits in the sockets, and cutting them off would put all that they run in
-    /// doubt.
+    /// Closes the links to silent agents, but not right after this process was suspended. What the agents
+    /// sent meanwhile still waits in the sockets, and closing the links would leave open which of their runs
+    /// go on.
     pub(super) fn close_silent_links(&mut self, now: time::Duration) {
-        if now < self.resumed_at + HEARD_AGAIN {
+        if now < self.resumed_at + RESUME_GRACE {
             return;
         }
         let silent = self
@@ -306,7 +312,8 @@
         }
     }
 
-    /// Takes back the runs of agents that have been away for so long that nothing runs there.
+    /// Forgets agents that have been without a link for so long that nothing runs there, and requeues the
+    /// tasks that they had.
     pub(super) fn drop_abandoned_agents(&mut self, now: time::Duration) {
         let away = self.agents.values().filter(|view| view.link.is_none());
         let over = away.filter(|v| now.saturating_sub(v.heard_at) > self.bounds.runs_end_within());
--- a/src/decide/besteffort/board/endings.rs
+++ b/src/decide/besteffort/board/endings.rs
@@ -1,23 +1,25 @@
-//! How jobs end: answered, given up, refused after all; what is kept of them, and their log line.
+//! How jobs end: answered, given up or refused after all; the answers that are kept, and the log line of
+//! each.
 
 use std::time;
 
 use compact_str::CompactString;
 
-use crate::decide::besteffort::board::{Action, Board, RETRY_NO_WORKER};
+use crate::decide::besteffort::board::{Action, Board, RETRY_AFTER};
 use crate::decide::besteffort::job::{Job, JobNo, NotRunReason, Outcome, Task};
 
-/// How long endings answer a submission that arrives once more; callers do so seconds later.
-const KEEP_ENDINGS: time::Duration = time::Duration::from_secs(15);
+/// How long an answer is kept for a submission that arrives once more; callers submit again within seconds.
+const KEEP_ANSWERS_FOR: time::Duration = time::Duration::from_secs(15);
 
-/// Most endings that are kept; a few hundred bytes each.
-const MAX_ENDINGS: usize = 4_000;
+/// Most answers that are kept; each takes a few hundred bytes.
+const MAX_KEPT_ANSWERS: usize = 4_000;
 
-/// Run times over the estimate after which a job's ending names the agents that had its tasks.
-const SLACK_OF_WIDTH: f64 = 1.5;
+/// A job that ends later than its latest start plus this many times its estimate names in its log line the
+/// agents that had its tasks.
+const LOG_AGENTS_AFTER: f64 = 1.5;
 
 impl Board {
-    /// Gives up every job that hasn't ended, since the entry ends now.
+    /// Gives up every job that hasn't been answered, since the entry ends now.
     pub fn give_up_all(&mut self, now: time::Duration) {
         self.give_up_jobs(now, |_| true);
     }
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Ends a job: stops what still runs and answers its caller.
+    /// Answers the caller of a job, and stops the job's runs.
     pub(super) fn finish_job(&mut self, now: time::Duration, no: JobNo, outcome: Outcome) {
         let Some(job) = self.remove_job(no) else {
             return;
@@ -43,20 +45,20 @@
                 } else {
                     NotRunReason::NoWorker
                 };
-                Outcome::NotRun(why, RETRY_NO_WORKER)
+                Outcome::NotRun(why, RETRY_AFTER)
             }
             other => other,
         };
         self.record_answer(now, &job, &outcome);
         if matches!(outcome, Outcome::Complete | Outcome::Failed) {
-            self.endings
+            self.answers
                 .insert(job.submission.job.clone(), outcome.clone());
-            self.endings_by_age.push_back((now, job.submission.job));
+            self.answers_by_age.push_back((now, job.submission.job));
         }
         self.actions.push(Action::Answer(no, outcome));
     }
 
-    /// Takes a job out and stops all that runs of it.
+    /// Removes a job without an answer, and stops its runs.
     pub(super) fn remove_job(&mut self, no: JobNo) -> Option<Job> {
         let job = self.jobs.remove(&no)?;
         self.by_id.remove(&job.submission.job);
@@ -75,14 +77,14 @@
         Some(job)
     }
 
-    pub(super) fn forget_old_endings(&mut self, now: time::Duration) {
-        let old = |at: time::Duration| now.saturating_sub(at) > KEEP_ENDINGS;
-        while let Some((at, _)) = self.endings_by_age.front() {
-            if !old(*at) && self.endings_by_age.len() <= MAX_ENDINGS {
+    pub(super) fn forget_old_answers(&mut self, now: time::Duration) {
+        let old = |at: time::Duration| now.saturating_sub(at) > KEEP_ANSWERS_FOR;
+        while let Some((at, _)) = self.answers_by_age.front() {
+            if !old(*at) && self.answers_by_age.len() <= MAX_KEPT_ANSWERS {
                 break;
             }
-            if let Some((_, job)) = self.endings_by_age.pop_front() {
-                self.endings.remove(&job);
+            if let Some((_, job)) = self.answers_by_age.pop_front() {
+                self.answers.remove(&job);
             }
         }
     }
@@ -111,7 +113,7 @@
         }
         let failed: u32 = job.tasks.iter().map(|task: &Task| task.failed_runs).sum();
         let ms = |d: time::Duration| d.as_millis() as u64;
-        let places = if now > job.latest_start + job.estimate.mul_f64(SLACK_OF_WIDTH)
+        let places = if now > job.latest_start + job.estimate.mul_f64(LOG_AGENTS_AFTER)
             || failed + job.moved_runs > 0
         {
             job.agent_names()
--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -1,8 +1,9 @@
-//! The best-effort jobs of one entry: who goes next, what an agent's word or silence means, and
-//! when a job is answered.
+//! The best-effort jobs of one entry: which task goes next, what an agent's messages or silence mean for its
+//! runs, and when a job is answered.
 //!
-//! Events and `now` (time since boot, suspensions included) go in, [`Action`]s come out. Each part of
-//! its work has a file: what agents tell, where tasks go, moving them off sick workers, endings.
+//! Events and `now` (time since boot, suspensions included) go in, [`Action`]s come out. Each part has a
+//! file: messages and links of agents, choosing the agent for a task, links to more agents, moving runs off
+//! slow or stalled backend servers, and answering jobs.
 
 mod agents;
 mod endings;
@@ -30,118 +31,119 @@
 use crate::id;
 use crate::metrics;
 
-/// When a caller may come back where no worker takes work: a worker that starts anew is known
-/// after about a heartbeat of its own.
-const RETRY_NO_WORKER: time::Duration = time::Duration::from_millis(1_000);
+/// Time after which a caller may submit again where no backend server accepts work: one that restarts is
+/// known after about one heartbeat of its own.
+const RETRY_AFTER: time::Duration = time::Duration::from_millis(1_000);
 
-/// How long nothing is started after the process stood still: in that time the sockets tell which
-/// callers have left meanwhile. Their jobs may already run elsewhere.
-const SETTLE: time::Duration = time::Duration::from_millis(30);
+/// How long the entry starts nothing after its process was suspended. In that time the sockets show which
+/// callers have left meanwhile; the jobs of these may already run elsewhere.
+const RESUME_PAUSE: time::Duration = time::Duration::from_millis(30);
 
-/// What the entry's driver should do.
+/// What the entry's driver has to do.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a start to an agent.
     Start(LinkNo, Start),
     /// Send a stop to an agent.
     Stop(LinkNo, Run),
-    /// Answer a caller.
+    /// Answer the caller of a job.
     Answer(JobNo, Outcome),
-    /// Close the link to an agent that isn't heard; it is opened again.
+    /// Close the link to an agent that is silent; the driver opens it again.
     Close(LinkNo),
-    /// Keep a link to an agent, or don't any more.
+    /// Begin or cease to keep a link to an agent.
     Link(LinkChange),
 }
 
-/// Counts since the start, for the metrics page.
+/// What the entry has counted since its start, for the metrics page.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Jobs by class and outcome.
+    /// Answered jobs by class and outcome.
     pub jobs: BTreeMap<(CompactString, &'static str), u64>,
-    /// Refusals by class and reason.
+    /// Refused jobs by class and reason.
     pub refused: BTreeMap<(CompactString, &'static str), u64>,
-    /// Starts sent.
+    /// Starts that were sent.
     pub starts: u64,
-    /// Those of tasks that had been sent before.
+    /// Starts of tasks that had been sent to an agent before.
     pub starts_again: u64,
     /// Runs that came back without having begun.
     pub bounced: u64,
     /// Runs that failed.
     pub failed_runs: u64,
-    /// Runs that were moved off a slow or standing worker.
+    /// Runs that were moved off a slow or stalled backend server.
     pub moved_runs: u64,
     /// Runs that were lost with an agent or its backend server.
     pub lost_runs: u64,
-    /// Jobs that were given up because backend servers crash under a task of theirs.
+    /// Jobs that were given up because backend servers crash under one of their tasks.
     pub crashing_jobs: u64,
-    /// From a job's arrival to its answer, by outcome.
+    /// Time from a job's arrival to its answer, by outcome.
     pub job_seconds: metrics::Seconds,
-    /// From a job's arrival to its first start, by class.
+    /// Time from a job's arrival to its first start, by class.
     pub wait_seconds: metrics::Seconds,
-    /// From a run's start to its end, by class; of runs that were done.
+    /// Time from a run's start to its end, by class; only of runs whose task is done.
     pub service_seconds: metrics::Seconds,
 }
 
-/// The agents in numbers, for the metrics page.
+/// Numbers of agents by what the entry knows of them, for the metrics page.
 #[derive(Clone, Copy, Debug)]
 pub struct Membership {
-    /// Agents that are listed.
+    /// Agents that the platform lists.
     pub listed: usize,
-    /// Agents that may still have runs of ours, cut off ones included.
+    /// Agents that may still have runs of this entry, those without a link included.
     pub known: usize,
-    /// Those that are linked.
+    /// Agents with a link to this entry.
     pub linked: usize,
-    /// Those that get work: linked, taking it, not barred.
+    /// Agents that get work: linked, accepting it and not barred.
     pub taking_work: usize,
-    /// How long ago the linked agent was heard that was heard longest ago; none without any.
+    /// Time since the last message of the linked agent that has been silent longest; none where no agent is
+    /// linked.
     pub longest_silence: Option<time::Duration>,
 }
 
-/// The state of an entry.
+/// The jobs of one entry, the agents that it knows, and the decisions about both.
 #[derive(Debug)]
 pub struct Board {
     policy: Policy,
     bounds: Bounds,
     agents: BTreeMap<id::AgentId, AgentView>,
-    /// Ordered, so that the same events have the same effects each time.
+    /// Ordered, so that the same events always have the same effects.
     jobs: BTreeMap<JobNo, Job>,
-    /// Tasks that wait for room, the next one first.
+    /// The tasks that wait for room, the next one first.
     queue: BTreeSet<QueueKey>,
     flow: Flow,
     run_times: RunTimes,
     crashes: Crashes,
     earlier_waits: EarlierWaits,
-    /// What the driver hasn't fetched yet.
+    /// Actions that the driver hasn't taken yet.
     actions: Vec<Action>,
-    /// What the entry did since the start.
+    /// What the entry has counted since its start.
     pub counts: Counts,
     /// The failure domain of the entry.
     failure_domain: CompactString,
-    /// Whose link is whose.
+    /// The agent at the other end of each link.
     links: HashMap<LinkNo, id::AgentId>,
-    /// The jobs that haven't ended, by the id that their callers chose.
+    /// The jobs that haven't been answered, by the ids that their callers chose.
     by_id: HashMap<JobId, JobNo>,
-    /// Latest endings, and in which order they came.
-    endings: HashMap<JobId, Outcome>,
-    endings_by_age: VecDeque<(time::Duration, JobId)>,
-    /// The number of the latest job.
+    /// The latest answers by job id, and below the same ids from the oldest to the newest.
+    answers: HashMap<JobId, Outcome>,
+    answers_by_age: VecDeque<(time::Duration, JobId)>,
+    /// The number that the latest job got.
     last_job_no: JobNo,
-    /// When time bounds were looked at for the first time.
+    /// When [`Board::tick`] was called for the first time.
     first_tick_at: Option<time::Duration>,
-    /// When the last link to an agent came up.
+    /// When a link to an agent last came up.
     last_linked_at: Option<time::Duration>,
-    /// When the process last went on after it stood still.
+    /// When the process last resumed after a suspension.
     resumed_at: time::Duration,
-    /// Until when nothing is started; see [`SETTLE`].
+    /// Until when nothing is started; see [`RESUME_PAUSE`].
     no_starts_until: time::Duration,
-    /// By when all jobs must have ended; none unless it stops.
+    /// When all jobs must have ended; none unless the entry is stopping.
     stop_by: Option<time::Duration>,
-    /// Which agents there are, and which of them are linked to.
+    /// The agents that the platform lists, and which of them the entry links to.
     subset: Subset,
-    /// When links are reviewed next.
+    /// When the links are reviewed next.
     review_at: time::Duration,
-    /// Links to more agents while work waits.
-    extra_links: reach::Widening,
+    /// The search for agents beyond the base while work waits.
+    extra_links: reach::ExtraLinks,
     /// Jobs that wait for links.
     parked: Vec<reach::Parked>,
 }
@@ -149,19 +151,19 @@
 /// What becomes of a submission.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SubmitResult {
-    /// It is a job; its answer comes as an [`Action::Answer`].
+    /// The submission is a job now; its answer follows as an [`Action::Answer`].
     Job(JobNo),
-    /// It is answered at once.
+    /// The submission is answered at once.
     Answered(Outcome),
 }
 
 impl Board {
-    /// Opens a board for an entry in a failure domain.
+    /// Opens the board of an entry in a failure domain.
     pub fn open(name: &str, domain: &str, bounds: Bounds, policy: Policy) -> Board {
         Board {
             subset: Subset::open(name, domain, policy.subset),
             review_at: time::Duration::ZERO,
-            extra_links: reach::Widening::default(),
+            extra_links: reach::ExtraLinks::default(),
             parked: Vec::new(),
             policy,
             bounds,
@@ -177,8 +179,8 @@
             failure_domain: domain.into(),
             links: HashMap::new(),
             by_id: HashMap::new(),
-            endings: HashMap::new(),
-            endings_by_age: VecDeque::new(),
+            answers: HashMap::new(),
+            answers_by_age: VecDeque::new(),
             last_job_no: 0,
             first_tick_at: None,
             last_linked_at: None,
@@ -188,12 +190,13 @@
         }
     }
 
-    /// Takes a submission in, or refuses it at once if it can't be served.
+    /// Accepts a submission as a job, or answers it at once: with its earlier answer, or with a refusal where
+    /// it can't be served.
     pub fn submit(&mut self, now: time::Duration, ask: Submission) -> SubmitResult {
         if let Some(no) = self.by_id.get(&ask.job) {
             return SubmitResult::Job(*no);
         }
-        if let Some(outcome) = self.endings.get(&ask.job) {
+        if let Some(outcome) = self.answers.get(&ask.job) {
             return SubmitResult::Answered(outcome.clone());
         }
         let estimate = self.run_times.estimate(&ask.class, ask.declared_run_time);
@@ -233,7 +236,7 @@
         self.dispatch(now);
     }
 
-    /// A job needn't wait for links any more.
+    /// Queues a job that no longer has to wait for links, or refuses it after all.
     fn queue_parked_job(&mut self, now: time::Duration, no: JobNo) {
         let Some(job) = self.jobs.get(&no) else {
             return;
@@ -249,7 +252,7 @@
         let mut there = self.agents.values().filter(|v| v.is_in_service());
         if self.has_found_agents(now) && !there.any(|v| v.backend.service == job.submission.service)
         {
-            return Some((NotRunReason::NoWorker, RETRY_NO_WORKER));
+            return Some((NotRunReason::NoWorker, RETRY_AFTER));
         }
         if self.has_found_agents(now) && self.large_enough_agents(job).next().is_none() {
             let held_before = self
@@ -260,13 +263,13 @@
             } else {
                 NotRunReason::NoFit
             };
-            return Some((why, RETRY_NO_WORKER));
+            return Some((why, RETRY_AFTER));
         }
         let forecast = self.forecast_wait(now, job);
         let wait = forecast.wait;
         let end = now + wait + job.estimate;
         if self.stop_by.is_some_and(|by| end + job.estimate > by) {
-            return Some((NotRunReason::Stopping, RETRY_NO_WORKER));
+            return Some((NotRunReason::Stopping, RETRY_AFTER));
         }
         let slack = job.latest_start.saturating_sub(now);
         let late = end > job.submission.deadline
@@ -281,12 +284,13 @@
         None
     }
 
-    /// Takes no new job that may not have ended `by` then: it takes twice its estimate at times.
+    /// Refuses from now on each job that may not have ended at `by`. A job is expected to take up to twice
+    /// its estimate.
     pub fn stop_by(&mut self, by: time::Duration) {
         self.stop_by = Some(by);
     }
 
-    /// The caller has left; nothing of its job runs on.
+    /// Drops a job whose caller has left, and stops its runs.
     pub fn caller_left(&mut self, now: time::Duration, no: JobNo) {
         if let Some(job) = self.jobs.get(&no) {
             log::info!(job = job.submission.job.as_str(), class = job.submission.class.as_str(),
@@ -296,18 +300,18 @@
         }
     }
 
-    /// The number of a job that hasn't ended, by its id.
+    /// Returns the number of a job that hasn't been answered, by its id.
     pub fn find_job(&self, job: &str) -> Option<JobNo> {
         self.by_id.get(job).copied()
     }
 
-    /// Jobs of a class of which nothing was started.
+    /// Counts the jobs of a class of which nothing was started yet.
     pub fn unstarted_jobs(&self, class: &str) -> usize {
         let waiting = self.jobs.values().filter(|job| job.starts_sent == 0);
         waiting.filter(|job| job.submission.class == class).count()
     }
 
-    /// What is known of the agents, in numbers.
+    /// Counts the agents by what is known of them.
     pub fn membership(&self, now: time::Duration) -> Membership {
         let linked = || self.agents.values().filter(|view| view.link.is_some());
         let heard = linked().map(|view| view.heard_at).min();
@@ -320,18 +324,18 @@
         }
     }
 
-    /// Jobs that haven't ended.
+    /// Counts the jobs that haven't been answered.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The process stood still for a while; see [`SETTLE`].
+    /// Records that the process was suspended for a while; see [`RESUME_PAUSE`].
     pub fn process_resumed(&mut self, now: time::Duration) {
         self.resumed_at = now;
-        self.no_starts_until = now + SETTLE;
+        self.no_starts_until = now + RESUME_PAUSE;
     }
 
-    /// Looks at every time bound. To be called more often than any of them matters.
+    /// Applies every time limit. The driver calls it in short intervals against the shortest of them.
     pub fn tick(&mut self, now: time::Duration) {
         self.first_tick_at.get_or_insert(now);
         self.close_silent_links(now);
@@ -341,16 +345,16 @@
         });
         self.run_times.update_median();
         self.crashes.forget_old(now);
-        self.forget_old_endings(now);
+        self.forget_old_answers(now);
         self.resume_parked_jobs(now);
         self.dispatch(now);
         self.review_links(now);
     }
 
-    /// The work that waits for room, if any does; its urgency on the clock of the entry.
+    /// Returns the work that waits for room, if any; its urgency is on the entry's clock.
     pub fn waiting_work(&self) -> Option<WaitingWork> {
         let (priority, latest, no, _) = self.queue.first()?;
-        // Late work takes what is left over, and competes with none.
+        // Late work takes only room that is left over, and asks no agent for any.
         let job = self.jobs.get(no).filter(|job| !job.is_late())?;
         Some(WaitingWork {
             priority: *priority,
@@ -360,7 +364,7 @@
         })
     }
 
-    /// What is to be done since the last call.
+    /// Returns what the driver has to do since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -1,9 +1,9 @@
-//! Where a task goes, and how long it has to wait.
+//! Chooses the agent for a task, and forecasts how long a job waits.
 //!
-//! Answers the usual load and bursts: work waits at the entry by urgency of its class and then by the
-//! latest start that still meets its target, and goes to an agent only when that has room, so that a
-//! worker that turns slow holds no queue. Of the agents with room one is drawn that ends the task about
-//! as soon as any.
+//! Made for the usual load and for bursts. Work waits at the entry, ordered by the urgency of its class and
+//! then by the latest start that still meets its target. A task goes to an agent only when the agent has
+//! room, so that no queue builds up behind a slow backend server. Among the agents with room where the task
+//! ends about as early as anywhere, one is drawn.
 
 use std::ops;
 use std::time;
@@ -18,27 +18,27 @@
 use crate::decide::besteffort::view::AgentView;
 use crate::id;
 
-/// Shortest time for which room is taken, in seconds.
-const SHORTEST: f64 = 0.001;
+/// Shortest mean time that the forecast reckons with for a run, in seconds; keeps the rate finite.
+const MIN_RUN_SECONDS: f64 = 0.001;
 
-/// Longest wait that is told apart, in seconds.
-const MAX_WAIT: f64 = 60.0;
+/// Longest wait that is forecast, in seconds.
+const MAX_WAIT_SECONDS: f64 = 60.0;
 
-/// What a job has to expect.
+/// What a new job has to expect.
 #[derive(Clone, Copy, Debug)]
 pub struct Forecast {
     /// How long its last task waits for room.
     pub wait: time::Duration,
-    /// Room that is asked for before it, in thousandths of a core.
+    /// Room that work ahead of it in the queue asks for, in thousandths of a core.
     pub room_ahead: f64,
-    /// Room that is taken a second, less what is more urgent.
+    /// Room that this entry gets per second, less what more urgent work takes, in thousandths of a core.
     pub room_rate: f64,
-    /// Tasks like its own that fit somewhere now.
+    /// Number of tasks like the job's own that fit somewhere now.
     pub fitting_tasks: i64,
 }
 
 impl Board {
-    /// The agents whose workers take work and may run a job, room apart.
+    /// Returns the agents in service whose backend servers may run a job, whatever their room.
     pub(super) fn suitable_agents<'a>(
         &'a self,
         job: &'a Job,
@@ -47,7 +47,7 @@
         there.filter(|view| Board::is_suitable(job, view))
     }
 
-    /// Those of them that are large enough for a task of the job, were they idle.
+    /// Returns the suitable agents whose backend servers, when idle, are large enough for a task of the job.
     pub(super) fn large_enough_agents<'a>(
         &'a self,
         job: &'a Job,
@@ -62,8 +62,8 @@
         view.backend.service == ask.service && ask.required_label.as_ref().is_none_or(labelled)
     }
 
-    /// How long a new job would wait until all its tasks have room, by what is asked for before it
-    /// and the rate at which room has come free for this entry lately.
+    /// Forecasts how long a new job waits until all its tasks have room, from the room that work ahead of it
+    /// asks for and the rate at which this entry has lately got room.
     pub(super) fn forecast_wait(&self, now: time::Duration, job: &Job) -> Forecast {
         let (mut share, mut free) = (0.0, 0);
         for view in self.large_enough_agents(job) {
@@ -89,18 +89,19 @@
         }
         let long = self.flow.mean_run_seconds(now, job.estimate.as_secs_f64());
         let share = share * self.reach_factor(now);
-        let rate = share * self.policy.admission.min_share / long.max(SHORTEST);
+        let rate = share * self.policy.admission.min_share / long.max(MIN_RUN_SECONDS);
         let rate = self.flow.start_rate(now).max(rate);
         let urgent = self.flow.more_urgent_rate(now, job.priority);
         forecast.room_rate = (rate - urgent)
             .max(rate * self.policy.admission.min_rate_left)
             .max(1.0);
         let all = room_ahead + job.total_room();
-        forecast.wait = time::Duration::from_secs_f64((all / forecast.room_rate).min(MAX_WAIT));
+        forecast.wait =
+            time::Duration::from_secs_f64((all / forecast.room_rate).min(MAX_WAIT_SECONDS));
         forecast
     }
 
-    /// Sends what waits to the agents that have room, and looks for more agents where some still waits.
+    /// Sends waiting tasks to agents that have room, and opens links to more agents where work still waits.
     pub(super) fn dispatch(&mut self, now: time::Duration) {
         if now < self.no_starts_until {
             return;
@@ -185,8 +186,8 @@
         true
     }
 
-    /// An agent with room where the task is expected to end first. Those where it ends about as soon are
-    /// drawn from, see [`draw`].
+    /// Chooses among the agents with room where the task is expected to end first. Those where it ends about
+    /// as soon are drawn from; see [`draw`].
     fn choose_agent(
         &self,
         now: time::Duration,
@@ -208,14 +209,15 @@
         first.map(|(_, view)| view.agent.clone())
     }
 
-    /// The agents that a task may be sent to now, each with its expected run time there in seconds.
+    /// Returns the agents that a task may be sent to now, with its expected run time there in seconds.
     fn candidate_agents(
         &self,
         now: time::Duration,
         job: &Job,
         task: &Task,
     ) -> Vec<(f64, &AgentView)> {
-        // A second failure at the same worker may be the job's last: it waits for another one.
+        // A second failure on the same backend server may be the job's last, so the task waits for another
+        // one.
         let failed_at = task
             .last_agent
             .as_ref()
@@ -244,7 +246,8 @@
         .collect()
     }
 
-    /// Late work leaves some room for work that can be in time: that would have to wait for it to end.
+    /// Whether an agent has room for a task of the job. Late work leaves some room free, since work that can
+    /// still be in time would otherwise have to wait until the late work ends.
     fn has_room(&self, job: &Job, view: &AgentView) -> bool {
         let mut free = view.free();
         if job.is_late() {
@@ -273,7 +276,7 @@
             && now + job.estimate.mul_f64(slowness) > job.latest_start + job.estimate
     }
 
-    /// Expected run time of a task at an agent of some slowness, in seconds.
+    /// Returns the expected run time of a task at an agent with this slowness, in seconds.
     pub(super) fn expected_seconds(&self, job: &Job, view: &AgentView, slowness: f64) -> f64 {
         let mut cost = job.estimate.as_secs_f64() * slowness;
         let near = job.submission.near_label.as_ref();
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -1,8 +1,8 @@
-//! Which agents the board may place work on: those that are listed, and links beyond the base for work that has no
+//! Which agents the board may place work on: the listed ones, and links beyond the base for work that has no
 //! room there.
 //!
-//! Answers a burst in one failure domain, an entry with many times the callers of others, and work that only a few
-//! backend servers suit: room that exists anywhere is found within some tens of milliseconds.
+//! Made for a burst in one failure domain, an entry with many times the callers of others, and work that
+//! suits only a few backend servers: room that exists anywhere is found within some tens of milliseconds.
 
 use std::time;
 
@@ -12,8 +12,8 @@
 use crate::decide::besteffort::subset::{LinkChange, ListedAgent};
 use crate::id;
 
-/// How often unused links are looked for; small against the time after which one counts as unused.
-const REVIEW: time::Duration = time::Duration::from_millis(200);
+/// How often unused links are looked for; short against the time after which a link counts as unused.
+const REVIEW_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// A job that waits for links to agents that suit it.
 #[derive(Debug)]
@@ -23,18 +23,18 @@
     until: time::Duration,
 }
 
-/// Links beyond the base for work that waits.
+/// The search for agents beyond the base while work waits.
 #[derive(Debug, Default)]
-pub(super) struct Widening {
+pub(super) struct ExtraLinks {
     /// Whether work waits.
     waits: bool,
-    /// Until when no more agents are linked to.
+    /// When links to more agents may be opened next.
     next: time::Duration,
-    /// Whether the last ones had no room either.
+    /// Whether the agents of the latest extra links had no room either.
     is_in_vain: bool,
-    /// The agents that were linked to last.
+    /// The agents of the latest extra links.
     asked: Vec<id::AgentId>,
-    /// By when these count as asked though they aren't up.
+    /// When these agents are judged even though their links aren't up.
     judged_at: time::Duration,
 }
 
@@ -46,27 +46,27 @@
 }
 
 impl Board {
-    /// An agent is listed, or is listed with other words than before.
+    /// Takes in that an agent is listed, or that its listing has changed.
     pub fn list_agent(&mut self, member: ListedAgent) {
         let change = self.subset.list_agent(member);
         self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
 
-    /// An agent isn't listed any more.
+    /// Takes in that an agent isn't listed any more.
     pub fn unlist_agent(&mut self, agent: &str) {
         let change = self.subset.unlist_agent(agent);
         self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
 
-    /// No link to an agent could be opened.
+    /// Takes in that no link to an agent could be opened.
     pub fn agent_unreachable(&mut self, now: time::Duration, agent: &str) {
         self.subset.link_down(now, agent);
         self.resume_parked_jobs(now);
     }
 
-    /// An agent has told of a crash, and not on a link to this entry.
+    /// Takes in a crash that an agent has reported, but not on a link to this entry.
     pub fn crash_reported(
         &mut self,
         now: time::Duration,
@@ -83,7 +83,7 @@
         if now < self.review_at {
             return;
         }
-        self.review_at = now + REVIEW;
+        self.review_at = now + REVIEW_INTERVAL;
         let agents = &self.agents;
         let is_used =
             |agent: &id::AgentId| agents.get(agent).is_some_and(|view| view.run_count > 0);
@@ -91,9 +91,9 @@
         self.push_link_changes(changes);
     }
 
-    /// Work waits that none of the linked agents has room for: links to more of those that suit it. Where the last
-    /// ones have taken less than a task each, the room is used up everywhere: more links would only have more entries
-    /// compete for each place that comes free.
+    /// Opens links to more agents that suit the waiting work while none of the linked ones has room for it.
+    /// Where the latest extra links have taken less than one task each, the room is used up everywhere: more
+    /// links would only make more entries compete for each place that becomes free.
     pub(super) fn open_extra_links(&mut self, now: time::Duration) {
         let waiting = self.queue.first().and_then(|rank| self.jobs.get(&rank.2));
         let Some(job) = waiting.filter(|job| !job.is_late()) else {
@@ -109,7 +109,8 @@
         if now < self.extra_links.next {
             return;
         }
-        // A thin entry takes a while to open links; nothing is told by those that aren't up yet.
+        // An entry on a small VM takes a while to open links, and an agent that isn't linked yet shows
+        // nothing about its room.
         let opening = |agent: &id::AgentId| self.subset.is_link_opening(agent);
         if now < self.extra_links.judged_at && self.extra_links.asked.iter().any(opening) {
             return;
@@ -136,7 +137,8 @@
         self.push_link_changes(changes);
     }
 
-    /// How many times the room of the linked agents work may count on that waits.
+    /// Returns the factor by which the room of the linked agents is counted for waiting work, since links to
+    /// more agents can be opened.
     pub(super) fn reach_factor(&self, now: time::Duration) -> f64 {
         if self.extra_links.is_in_vain && now < self.extra_links.next {
             1.0
@@ -145,7 +147,8 @@
         }
     }
 
-    /// The agents that a new job had better wait for: no linked one suits it, or none near its data has room.
+    /// Opens links for a new job where no linked agent suits it, or where none near its data has room.
+    /// Returns the agents that the job had better wait for.
     fn open_links_for(&mut self, now: time::Duration, job: &Job) -> Vec<id::AgentId> {
         let sought = self.policy.subset.links_for_job;
         let ask = &job.submission;
@@ -162,7 +165,7 @@
         if !opening.is_empty() || has_any {
             return opening;
         }
-        // Nothing near is listed, and nothing else is linked.
+        // No agent near the data is listed, and no linked agent suits the job.
         let (opening, changes) = self.subset.open_extra_links(now, sought, |m| suits(ask, m));
         self.push_link_changes(changes);
         opening
@@ -175,8 +178,8 @@
         near.any(|view| view.free().fits(&job.submission.need))
     }
 
-    /// Has a new job wait for agents that suit it better than the linked ones; false where there are none to wait
-    /// for.
+    /// Makes a new job wait for links to agents that suit it better than the linked ones. Returns false where
+    /// there are none to wait for.
     pub(super) fn park_job(&mut self, now: time::Duration, no: JobNo, job: &Job) -> bool {
         let opening = self.open_links_for(now, job);
         if opening.is_empty() {
@@ -188,7 +191,7 @@
         true
     }
 
-    /// Lets jobs go on whose links are up, have failed, or take too long.
+    /// Queues the parked jobs whose links are up, have failed or take too long.
     pub(super) fn resume_parked_jobs(&mut self, now: time::Duration) {
         let subset = &self.subset;
         let waits = |parked: &Parked| {
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Agents that are wanted and have been out of reach for so long.
+    /// Returns the wanted agents that have been without a link for longer than `long`.
     pub fn agents_unreachable_for(
         &self,
         now: time::Duration,
@@ -216,7 +219,7 @@
         self.subset.agents_missing_for(now, long)
     }
 
-    /// Agents that are listed, linked to or not.
+    /// Counts the listed agents, linked to or not.
     pub(super) fn listed_agents(&self) -> usize {
         self.subset.listed_agents()
     }
--- a/src/decide/besteffort/board/rescue.rs
+++ b/src/decide/besteffort/board/rescue.rs
@@ -1,8 +1,8 @@
-//! Moving work off workers that stand still or turn slow.
+//! Moves runs off backend servers that stall or become slow.
 //!
-//! The first run is stopped and the next begins only when its end is known, so that never two run
-//! at a time. It answers workers that slow down six- to eightfold or stand still for seconds while
-//! their heartbeats are good; a task of 60 to 900 ms can't wait for a health check to tell.
+//! The first run is stopped, and the next one begins only when the first is known to have ended, so that two
+//! runs of a task never coincide. This is for backend servers that slow down six- to eightfold, or stall for
+//! seconds, while their heartbeats are good: a task of 60 to 900 ms can't wait until a health check notices.
 
 use std::time;
 
@@ -11,7 +11,7 @@
 use crate::decide::besteffort::message::{Progress, Run};
 
 impl Board {
-    /// Takes in how far a run is, and moves it where that ends it sooner.
+    /// Takes in the progress of a run, and moves the run where the task then ends sooner.
     pub(super) fn record_progress(
         &mut self,
         now: time::Duration,
@@ -74,8 +74,8 @@
         let others = self
             .large_enough_agents(job)
             .filter(|v| v.agent != placed.agent);
-        // Where all are full a task goes to the head of the queue, and room comes free every few
-        // milliseconds.
+        // Agents without free room count too. Where all are full the task goes to the head of the queue, and
+        // some room becomes free every few milliseconds.
         let best = others
             .map(|v| {
                 self.expected_seconds(job, v, self.run_times.slowness(&v.agent)) / estimate * work
--- a/src/decide/besteffort/crashes.rs
+++ b/src/decide/besteffort/crashes.rs
@@ -1,11 +1,12 @@
-//! Which tasks an entry believes to crash backend servers.
+//! Finds the tasks that crash backend servers.
 //!
-//! A crash takes down all that runs beside its cause, so that each of those tasks becomes a suspect. Suspicion
-//! is counted in points: a task that had just begun gets [`LIKELY_POINTS`], any other [`POSSIBLE_POINTS`]. A suspect's next run
-//! is on probation, and a crash in that time proves it the cause. So does [`CAUSE_POINTS`], after two crashes, or four
-//! for a task that takes a while. It is given up then, which clears what was beside it. Agents tell every entry,
-//! so that the count outlives an entry and holds for a job that is submitted again elsewhere.
-//! `docs/design/crashes.md` has the argument.
+//! A crash ends every run on the backend server, so that each of their tasks becomes a suspect. Suspicion is
+//! counted in points: a task that had just begun gets [`LIKELY_POINTS`], any other [`POSSIBLE_POINTS`]. The
+//! next run of a suspect is on probation, and a crash in that time proves the suspect to be the cause. So
+//! does a total of [`CAUSE_POINTS`], which a task reaches with two crashes shortly after its start, or with
+//! four crashes later in its run. The job of such a task is given up, and the tasks that ran beside it are
+//! cleared. Agents report crashes to every entry, so that the points outlive an entry and apply to a job that
+//! is submitted again elsewhere. `docs/design/crashes.md` has the argument.
 
 use std::collections::{HashMap, HashSet};
 use std::time;
@@ -13,54 +14,54 @@
 use crate::decide::besteffort::message::{Crash, JobId, TaskName};
 use crate::id;
 
-/// Points of a task that had just begun when the backend server crashed.
+/// Points for a crash shortly after the task's start.
 pub const LIKELY_POINTS: u32 = 2;
 
-/// Points of one that had run for a while.
+/// Points for a crash after the task had run for a while.
 pub const POSSIBLE_POINTS: u32 = 1;
 
-/// Points with which a task is given up.
+/// Points from which a task counts as the cause, and its job is given up.
 pub const CAUSE_POINTS: u32 = 4;
 
-/// How long after its start a task is the likely cause of a crash. A suspect that has run for so long
-/// without one is let run beside others.
+/// How long after its start a task is the likely cause of a crash. A suspect that has run for so long without
+/// a crash no longer keeps others from starting beside it.
 pub const PROBATION: time::Duration = time::Duration::from_millis(100);
 
-/// How long a crash is remembered: longer than callers submit one job again.
+/// How long a crash is remembered: longer than callers take to submit a job again.
 pub const REMEMBERED_FOR: time::Duration = time::Duration::from_secs(15);
 
 /// Most crashes that are remembered.
-const MAX_KNOWN: usize = 512;
+const MAX_REMEMBERED: usize = 512;
 
-/// Whether so many points make a task run apart from others at first.
+/// Whether a task with so many points has to run on probation at first.
 pub fn is_suspect(points: u32) -> bool {
     points >= LIKELY_POINTS
 }
 
-/// Tells crashes apart: the agent, which life of it, and which of the backend servers beside it.
+/// Identifies a crash: the agent, its incarnation, and the number of the backend server beside it.
 type CrashId = (id::AgentId, id::Incarnation, u64);
 
 #[derive(Debug)]
-struct Known {
+struct KnownCrash {
     id: CrashId,
     at: time::Duration,
     crash: Crash,
-    /// Tasks that were suspected of it before its cause was known.
+    /// Tasks that were suspected of the crash before its cause was known.
     cleared: Vec<TaskName>,
 }
 
-/// The crashes that agents have told of.
+/// The crashes that agents have reported, and the points of the tasks suspected of them.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    known: Vec<Known>,
+    known: Vec<KnownCrash>,
     points: HashMap<JobId, HashMap<id::TaskIndex, u32>>,
-    /// Tasks that have been suspected. They run on probation even if they were cleared: two causes may have been
-    /// on one backend server.
-    watched: HashSet<TaskName>,
+    /// Tasks that were cleared of a crash. They still run on probation, since two causes may have been on one
+    /// backend server.
+    cleared_tasks: HashSet<TaskName>,
 }
 
 impl Crashes {
-    /// Takes in what an agent tells of a crash. It replaces what the agent told of it before.
+    /// Records an agent's report of a crash. It replaces an earlier report of the same crash.
     pub fn record(
         &mut self,
         now: time::Duration,
@@ -70,11 +71,11 @@
     ) {
         let id = (agent.into(), life, crash.server);
         self.known.retain(|known| known.id != id);
-        if self.known.len() == MAX_KNOWN {
+        if self.known.len() == MAX_REMEMBERED {
             self.known.remove(0);
         }
         if crash.suspects().next().is_some() {
-            self.known.push(Known {
+            self.known.push(KnownCrash {
                 id,
                 at: now,
                 crash: crash.clone(),
@@ -85,14 +86,14 @@
         self.clear_innocent();
     }
 
-    /// Points of a task, or those of a suspect where it was one.
+    /// Returns the points of a task; at least those of a suspect where the task was cleared of a crash.
     pub fn suspicion(&self, job: &str, task: id::TaskIndex) -> u32 {
         if self.known.is_empty() {
             return 0;
         }
         let job = job.into();
         let name = TaskName { job, task };
-        let least = u32::from(self.watched.contains(&name)) * LIKELY_POINTS;
+        let least = u32::from(self.cleared_tasks.contains(&name)) * LIKELY_POINTS;
         self.points_of(&name).max(least)
     }
 
@@ -102,14 +103,14 @@
         points.copied().unwrap_or(0)
     }
 
-    /// The first task of a job that has to be given up.
+    /// Returns the first task of a job that counts as a cause of crashes.
     pub fn cause_in(&self, job: &str) -> Option<id::TaskIndex> {
         let tasks = self.points.get(job)?.iter();
         let causes = tasks.filter(|(_, points)| **points >= CAUSE_POINTS);
         causes.map(|(task, _)| *task).min()
     }
 
-    /// The agents whose backend servers have crashed under a task, for the log.
+    /// Returns the agents whose backend servers have crashed under a task, for the log.
     pub fn crashed_agents(&self, job: &str, task: id::TaskIndex) -> Vec<&str> {
         let is_meant = |name: &TaskName| name.job == job && name.task == task;
         let of = self.known.iter();
@@ -117,7 +118,7 @@
         of.map(|known| known.id.0.as_str()).collect()
     }
 
-    /// Forgets what was too long ago.
+    /// Forgets the crashes that are older than [`REMEMBERED_FOR`].
     pub fn forget_old(&mut self, now: time::Duration) {
         let before = self.known.len();
         self.known
@@ -129,7 +130,7 @@
 
     fn recount_points(&mut self) {
         self.points.clear();
-        self.watched.clear();
+        self.cleared_tasks.clear();
         for known in &self.known {
             let crash = &known.crash;
             let proven = crash.proven.iter().map(|name| (name, CAUSE_POINTS));
@@ -139,11 +140,11 @@
                 let tasks = self.points.entry(name.job.clone()).or_default();
                 *tasks.entry(name.task).or_default() += points;
             }
-            self.watched.extend(known.cleared.iter().cloned());
+            self.cleared_tasks.extend(known.cleared.iter().cloned());
         }
     }
 
-    /// A crash whose cause is known tells nothing against what ran beside it.
+    /// Clears the tasks that ran beside a known cause: the crash is no evidence against them.
     fn clear_innocent(&mut self) {
         let all = self.known.iter().flat_map(|known| known.crash.suspects());
         let causes = all.filter(|name| self.points_of(name) >= CAUSE_POINTS);
@@ -151,7 +152,7 @@
         if causes.is_empty() {
             return;
         }
-        for Known { crash, cleared, .. } in &mut self.known {
+        for KnownCrash { crash, cleared, .. } in &mut self.known {
             if crash.suspects().any(|name| causes.contains(name)) {
                 let innocent = |name: &&TaskName| !causes.contains(*name);
                 cleared.extend(crash.likely.iter().filter(innocent).cloned());
--- a/src/decide/besteffort/draw.rs
+++ b/src/decide/besteffort/draw.rs
@@ -1,28 +1,28 @@
-//! Which of several agents that suit a task alike gets it: drawn in proportion to the room there.
+//! Draws one of several agents that suit a task equally well, in proportion to the room there.
 //!
-//! Answers many entries at an ordinary load. What an entry knows of the room at an agent is up to a
-//! heartbeat old. Where each takes the agent that looks emptiest, all take the same one until its next
-//! word: starts come back, and jobs are late with nothing waiting (`tests/besteffort_load`).
+//! Made for many entries at an ordinary load. What an entry knows of an agent's room is up to a heartbeat
+//! old. If each took the agent that looks emptiest, all would take the same one until its next message:
+//! starts would come back, and jobs would be late with nothing waiting (`tests/besteffort_load`).
 
 use xxhash_rust::xxh3;
 
 use crate::decide::besteffort::message::Run;
 
-/// What the draws for a run depend on; the same each time, so that the same events have the same
-/// effects.
+/// Returns the seed of the draws for a run. It depends on the run only, so that the same events always have
+/// the same effects.
 pub fn seed(run: &Run) -> u64 {
     xxh3::xxh3_64(run.job.as_bytes()) ^ run.number.rotate_left(32) ^ u64::from(run.task)
 }
 
-/// A number from 0 to 1.
+/// Returns a number between 0 and 1, by hash of the seed and the agent.
 fn uniform(seed: u64, agent: &str) -> f64 {
     let hash = xxh3::xxh3_64_with_seed(agent.as_bytes(), seed);
-    // The upper 53 bits are what fits a float; never 0, whose logarithm isn't finite.
+    // The upper 53 bits fit a float without rounding. The result is never 0, whose logarithm isn't finite.
     ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64
 }
 
-/// The place of an agent in the draw of a seed; the least wins. Of agents with `room` each wins with a
-/// chance in proportion to it (the least of exponential times whose rates are the rooms).
+/// Returns the key of an agent in the draw of a seed; the smallest key wins. Each agent wins with a chance in
+/// proportion to its `room`, since the keys are exponentially distributed with the rooms as rates.
 pub fn weighted_key(seed: u64, agent: &str, room: f64) -> f64 {
     -uniform(seed, agent).ln() / room.max(f64::MIN_POSITIVE)
 }
--- a/src/decide/besteffort/evacuation.rs
+++ b/src/decide/besteffort/evacuation.rs
@@ -1,11 +1,12 @@
-//! Which failure domains operators have evacuated: nothing new starts on their backend servers until
-//! they are taken back.
+//! Evacuated failure domains: nothing new starts on their backend servers until operators take them back into
+//! service.
 //!
-//! Operators write it to the platform's store, which the entries read. An agent is told by the entries and
-//! refuses by itself. Did only the entries know, one that is cut off from the store would go on
-//! sending work into the domain for as long as that lasts. Every word has the version of the store
-//! that it was read at, and the agent believes the newest one, so that an entry that has read nothing
-//! for a while can't bring an old word back. `docs/design/evacuation.md` weighs the ways.
+//! Operators write an evacuation to the platform's store, which the entries read. The entries tell the
+//! agents, and an evacuated agent refuses starts by itself. If only the entries knew, one that is cut off
+//! from the store would go on sending work into the domain for as long as that lasts. Every announcement
+//! carries the version of the store at which it was read, and an agent believes the newest version, so that
+//! an entry that has read nothing for a while can't bring back an old state. `docs/design/evacuation.md`
+//! compares the alternatives.
 
 use std::collections::BTreeSet;
 use std::time;
@@ -13,26 +14,26 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// How often an agent is told again what hasn't changed. An evacuation may begin and be taken back between
-/// two looks of one entry while another entry sees its beginning and is then cut off from the store: the
-/// agent would believe in it for good. A few bytes on a line that leaves anyway.
-const AGAIN: time::Duration = time::Duration::from_secs(2);
+/// How often an unchanged state is repeated to an agent. An evacuation may begin and end between two readings
+/// of one entry, while another entry reads its beginning and is then cut off from the store: without the
+/// repetition the agent would believe it for ever. It costs a few bytes in a message that is sent anyway.
+const REPEAT_AFTER: time::Duration = time::Duration::from_secs(2);
 
-/// What an entry tells an agent of its failure domain.
+/// The state of an agent's failure domain, as an entry announces it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DomainState {
-    /// The version of the store at which it was true; one count for the whole store.
+    /// The version of the store at which the state was read; one counter for the whole store.
     pub version: u64,
     /// Whether the domain is evacuated.
     pub evacuated: bool,
 }
 
-/// What one look at the platform's store brought.
+/// The result of one reading of the platform's store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StoreReading {
-    /// The newest version of the store then.
+    /// The newest version of the store at that time.
     pub version: u64,
-    /// Whether these are all domains that are evacuated, not only those of which that has changed.
+    /// Whether `domains` holds all evacuated domains, and not only the changed ones.
     pub is_complete: bool,
     /// Failure domains, and whether each is evacuated.
     pub domains: Vec<(CompactString, bool)>,
@@ -46,8 +47,8 @@
 }
 
 impl Evacuations {
-    /// Takes in a reading; one that is older than what is known is passed over. Returns whether any domain
-    /// was evacuated or taken back.
+    /// Takes in a reading, unless it is older than what is known. Returns whether any domain was evacuated or
+    /// taken back.
     pub fn update(&mut self, reading: &StoreReading) -> bool {
         if reading.version < self.version {
             return false;
@@ -67,12 +68,12 @@
         self.domains != before
     }
 
-    /// The domains that are evacuated.
+    /// Returns the domains that are evacuated.
     pub fn domains(&self) -> &BTreeSet<CompactString> {
         &self.domains
     }
 
-    /// What to tell the agents of a domain; nothing before anything was read.
+    /// Returns the state to announce to the agents of a domain; none before anything was read.
     pub fn domain_state(&self, domain: &str) -> Option<DomainState> {
         (self.version > 0).then(|| DomainState {
             version: self.version,
@@ -82,8 +83,8 @@
 }
 
 impl DomainState {
-    /// Takes in another word on the same domain: the one read at a newer version holds. Returns whether
-    /// the domain was evacuated or taken back by it.
+    /// Takes in another state of the same domain; the one read at the newer version holds. Returns whether
+    /// this evacuated the domain or took it back.
     pub fn update(&mut self, other: DomainState) -> bool {
         if other.version < self.version {
             return false;
@@ -94,17 +95,17 @@
     }
 }
 
-/// What an entry has told one agent on the link that is up.
+/// What an entry last announced to an agent on the present link, and when.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LastSent(Option<(bool, time::Duration)>);
 
 impl LastSent {
-    /// Which part of a word the next line should carry: all of it where the agent hasn't heard it yet or
-    /// for [`AGAIN`], else nothing.
+    /// Returns the state if it has to go into the next message: when it differs from what the agent was told,
+    /// or when the last announcement is [`REPEAT_AFTER`] ago.
     pub fn due(&mut self, now: time::Duration, word: Option<DomainState>) -> Option<DomainState> {
         let word = word?;
         let is_known = |(evacuated, at): (bool, time::Duration)| {
-            evacuated == word.evacuated && now.saturating_sub(at) < AGAIN
+            evacuated == word.evacuated && now.saturating_sub(at) < REPEAT_AFTER
         };
         if self.0.is_some_and(is_known) {
             return None;
--- a/src/decide/besteffort/job.rs
+++ b/src/decide/besteffort/job.rs
@@ -1,4 +1,4 @@
-//! A best-effort job at its entry: what its caller asked for, its tasks, and how it ends.
+//! A best-effort job at its entry: the submission, the state of its tasks, and the job's outcome.
 
 use std::time;
 
@@ -7,91 +7,91 @@
 use crate::decide::besteffort::message::{JobId, Room, Run, RunNumber};
 use crate::id;
 
-/// Numbers the jobs of one life of an entry.
+/// Numbers the jobs of one incarnation of an entry.
 pub type JobNo = u64;
 
-/// Tells the links of an entry to its agents apart.
+/// Numbers the links of an entry to its agents.
 pub type LinkNo = u64;
 
-/// Most agents that an ending names, so that a line stays short.
-const MAX_PLACES: usize = 32;
+/// Most agents that the log line of an answered job names, so that the line stays short.
+const MAX_LOGGED_AGENTS: usize = 32;
 
-/// Urgency of work whose target can't be met any more; behind that of every class.
+/// Priority of work whose target can't be met any more; it goes behind every class.
 pub const LATE_PRIORITY: u32 = u32::MAX;
 
-/// The order in which tasks wait: urgency of the class, then the latest start that meets the target.
+/// The order of waiting tasks: urgency of the class, then the latest start that meets the target.
 pub type QueueKey = (u32, time::Duration, JobNo, id::TaskIndex);
 
-/// What a caller asked for, with what the configuration says of its class.
+/// A job as its caller asked for it, with what the configuration says of its class.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The job.
+    /// The id that the caller chose.
     pub job: JobId,
     /// The class of work.
     pub class: CompactString,
-    /// The service whose backend servers run it.
+    /// The service whose backend servers run the job.
     pub service: CompactString,
-    /// What each task gets.
+    /// The input that each task gets.
     pub input: CompactString,
-    /// How many tasks, at least 1.
+    /// Number of tasks, at least 1.
     pub tasks: u32,
-    /// Room that a task takes.
+    /// Room that each task takes.
     pub need: Room,
-    /// How long a task is said to run; rough.
+    /// The caller's rough statement of how long a task runs.
     pub declared_run_time: time::Duration,
-    /// A label that a worker must have.
+    /// A label that the backend server must have.
     pub required_label: Option<CompactString>,
-    /// A label of the workers near the data.
+    /// The label of the backend servers near the job's data.
     pub near_label: Option<CompactString>,
-    /// Most tasks on one worker.
+    /// Most tasks of the job that may be on one backend server at a time.
     pub max_per_worker: Option<u32>,
-    /// Failed runs of a task after which the job has failed.
+    /// Number of failed runs of one task after which the job has failed.
     pub max_attempts: u32,
-    /// Urgency of the class; 0 comes first.
+    /// Urgency of the class; 0 goes first.
     pub priority: u32,
     /// The target, as a multiple of the run time.
     pub stretch: f64,
-    /// What is added to that multiple.
+    /// Time that is added to that multiple.
     pub slack: time::Duration,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: time::Duration,
-    /// By how much its caller's wait falls short of what callers of the class wait; see
+    /// By how much the caller waits shorter than callers of the class do; see
     /// [`earlier_wait`](crate::decide::besteffort::earlier_wait).
     pub wait_shortfall: time::Duration,
     /// Larger than the number of any run that an earlier submission of this job may have had.
     pub first_run_number: RunNumber,
 }
 
-/// How a job ended, for its caller.
+/// The outcome of a job, as its caller learns it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// All tasks were done.
+    /// All tasks are done.
     Complete,
     /// A task failed as often as its class allows.
     Failed,
-    /// Time ran out after part of it may have run.
+    /// Time ran out after some of the job may have run.
     GaveUp,
-    /// Nothing of it ran; when to come back.
+    /// Nothing of the job ran; the time is when the caller may submit it again.
     NotRun(NotRunReason, time::Duration),
 }
 
 /// Why nothing of a job ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NotRunReason {
-    /// No worker of its service takes work.
+    /// No backend server of its service accepts work.
     NoWorker,
-    /// No worker is large enough, or has the label that it needs.
+    /// No backend server is large enough or has the label that the job requires.
     NoFit,
-    /// No worker is large enough now; some are when they haven't shrunk.
+    /// No backend server is large enough now, though some are at their full size.
     Shrunk,
-    /// Its target can't be met behind what waits already.
+    /// The target can't be met behind the work that waits already.
     Overloaded,
-    /// This entry is stopping and it couldn't end in time.
+    /// The entry is stopping, and the job couldn't end in time.
     Stopping,
 }
 
 impl NotRunReason {
-    /// The reason as logs and metrics name it.
+    /// Returns the reason's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             NotRunReason::NoWorker => "no_worker",
@@ -104,7 +104,7 @@
 }
 
 impl Outcome {
-    /// The outcome as logs and metrics name it.
+    /// Returns the outcome's name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Complete => "complete",
@@ -115,78 +115,78 @@
     }
 }
 
-/// Where one task stands.
+/// The state of one task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
-    /// It waits for room.
+    /// The task waits for room.
     Waiting,
-    /// It was sent to an agent.
+    /// A run of the task was sent to an agent.
     Placed(PlacedRun),
-    /// It is done.
+    /// The task is done.
     Done,
 }
 
-/// A run that an agent has.
+/// A run that was sent to an agent and hasn't ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacedRun {
-    /// The agent.
+    /// The agent that has the run.
     pub agent: id::AgentId,
-    /// The run.
+    /// The run's number.
     pub number: RunNumber,
-    /// Hundredths done, as last heard.
+    /// The part of the work that is done, in percent, as last reported.
     pub percent: u8,
-    /// When that changed last.
+    /// When `percent` changed last.
     pub progressed_at: time::Duration,
-    /// Whether it is being stopped to go elsewhere.
+    /// Whether the run is being stopped so that the task can start elsewhere.
     pub is_moving: bool,
 }
 
-/// One task.
+/// One task of a job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Where it stands.
+    /// Whether the task waits, was placed or is done.
     pub state: State,
-    /// Runs that failed.
+    /// Number of its runs that failed.
     pub failed_runs: u32,
-    /// The agent that had it last; the next run prefers another.
+    /// The agent that had its last run; the next run prefers another one.
     pub last_agent: Option<id::AgentId>,
 }
 
-/// One job.
+/// A job that hasn't been answered, with the state of its tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What was asked for.
+    /// What the caller asked for.
     pub submission: Submission,
-    /// Its tasks.
+    /// The tasks, by their index.
     pub tasks: Vec<Task>,
-    /// When it came.
+    /// When the job arrived.
     pub arrived_at: time::Duration,
-    /// How long a task is thought to run on a sound worker.
+    /// How long a task is expected to run on a sound backend server.
     pub estimate: time::Duration,
     /// Urgency of its class, or [`LATE_PRIORITY`].
     pub priority: u32,
-    /// Latest time for a task to start if the target is to be met, or the answer to come in time if it
-    /// can't be.
+    /// The latest start of a task that still meets the target. Where the target can't be met any more, the
+    /// latest start that still lets the answer arrive before the deadline.
     pub latest_start: time::Duration,
     /// The number of the next run.
     pub next_run_number: RunNumber,
-    /// Starts sent, over all tasks.
+    /// Number of starts sent, over all tasks.
     pub starts_sent: u32,
-    /// Tasks that aren't done.
+    /// Number of tasks that aren't done.
     pub unfinished_tasks: u32,
-    /// Tasks that were moved off a slow or failing worker.
+    /// Number of runs that were moved off a slow or stalled backend server.
     pub moved_runs: u32,
-    /// When the first task was sent.
+    /// When the first task was sent to an agent.
     pub first_start_at: Option<time::Duration>,
 }
 
 impl Job {
-    /// Where a task of the job stands in the queue.
+    /// Returns the position of a task of the job in the queue.
     pub fn queue_key(&self, no: JobNo, task: id::TaskIndex) -> QueueKey {
         (self.priority, self.latest_start, no, task)
     }
 
-    /// A run of one of its tasks.
+    /// Returns a run of one of the job's tasks.
     pub fn run(&self, task: id::TaskIndex, number: u64) -> Run {
         Run {
             job: self.submission.job.clone(),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Its runs that were sent to an agent and haven't ended, and where they are.
+    /// Returns the runs that were sent to an agent and haven't ended, with the agents that have them.
     pub fn placed_runs(&self) -> impl Iterator<Item = (Run, &PlacedRun)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(index, task)| match &task.state {
@@ -207,33 +207,33 @@
         })
     }
 
-    /// The agents that have or had the tasks, in the order of the tasks, for the log.
+    /// Returns the agents that have or had the tasks, in the order of the tasks, for the log.
     pub fn agent_names(&self) -> CompactString {
         let names = self.tasks.iter().map(|task| match &task.state {
             State::Placed(placed) => placed.agent.as_str(),
             State::Waiting | State::Done => task.last_agent.as_deref().unwrap_or("-"),
         });
-        let names: Vec<&str> = names.take(MAX_PLACES).collect();
+        let names: Vec<&str> = names.take(MAX_LOGGED_AGENTS).collect();
         names.join(",").into()
     }
 
-    /// Whether the latest time for a start has passed before the first one. What would be late holds
-    /// up what needn't be; its caller does better to come back.
+    /// Whether the latest start has passed before any task was sent. A late job would delay others that can
+    /// still be in time, so its caller does better to submit it again.
     pub fn is_hopeless(&self, now: time::Duration) -> bool {
         self.starts_sent == 0 && now > self.latest_start
     }
 
-    /// Whether its target had passed when it came.
+    /// Whether the target had already passed when the job arrived.
     pub fn is_late(&self) -> bool {
         self.priority == LATE_PRIORITY
     }
 
-    /// The room of all its tasks, in thousandths of a core.
+    /// Returns the room of all its tasks, in thousandths of a core.
     pub fn total_room(&self) -> f64 {
         self.submission.need.cpu as f64 * f64::from(self.submission.tasks)
     }
 
-    /// Opens a job whose tasks all wait, of a caller that has waited for so long before.
+    /// Opens a job whose tasks all wait; its caller has already waited for `waited` on earlier submissions.
     pub fn open(
         submission: Submission,
         now: time::Duration,
--- a/src/decide/besteffort/learn.rs
+++ b/src/decide/besteffort/learn.rs
@@ -1,4 +1,4 @@
-//! What run times teach: how far declared times are off, by class, and how fast each agent works.
+//! Learns from run times how far declared run times are off, by class, and how fast each agent works.
 
 use std::collections::HashMap;
 use std::time;
@@ -8,23 +8,23 @@
 use crate::decide::besteffort::policy;
 use crate::id;
 
-/// Shortest run time that is told apart.
-const SHORTEST: f64 = 0.001;
+/// Shortest run time that is distinguished, in seconds.
+const MIN_SECONDS: f64 = 0.001;
 
-/// What was learned.
+/// What was learned from run times.
 #[derive(Debug)]
 pub struct RunTimes {
     policy: policy::Learning,
-    /// Mean logarithm of the run time in seconds, and how many were seen.
+    /// By class, the mean logarithm of the run time in seconds and the number of runs.
     classes: HashMap<CompactString, (f64, u32)>,
-    /// Logarithm of the run time against the estimate. Only differences between agents count: what
-    /// all have in common says that the estimate is off.
+    /// By agent, the logarithm of the run time over the estimate. Only differences between agents count: what
+    /// all have in common shows that the estimates are off.
     agents: HashMap<id::AgentId, f64>,
     median: f64,
 }
 
 impl RunTimes {
-    /// Opens what nothing has taught yet.
+    /// Opens the state before any run has ended.
     pub fn open(policy: policy::Learning) -> RunTimes {
         RunTimes {
             policy,
@@ -34,9 +34,9 @@
         }
     }
 
-    /// How long a task runs on a usual worker.
+    /// Returns how long a task runs on a typical backend server.
     pub fn estimate(&self, class: &str, declared: time::Duration) -> time::Duration {
-        let declared = declared.as_secs_f64().max(SHORTEST).ln();
+        let declared = declared.as_secs_f64().max(MIN_SECONDS).ln();
         let seconds = match self.classes.get(class) {
             Some((mean, _)) => {
                 let weight = self.policy.declared_weight;
@@ -47,14 +47,14 @@
         time::Duration::from_secs_f64(seconds.exp())
     }
 
-    /// How many times the usual run time an agent takes.
+    /// Returns by which factor runs at an agent take longer than usual.
     pub fn slowness(&self, agent: &str) -> f64 {
         let own = self.agents.get(agent).copied().unwrap_or(self.median);
         let (least, most) = self.policy.slowness_bounds;
         (own - self.median).exp().clamp(least, most)
     }
 
-    /// Takes in a run that was done.
+    /// Takes in the run time of a task that is done.
     pub fn record_run(
         &mut self,
         class: &str,
@@ -62,17 +62,17 @@
         estimate: time::Duration,
         took: time::Duration,
     ) {
-        let took = took.as_secs_f64().max(SHORTEST);
-        let usual = (took / self.slowness(agent)).max(SHORTEST).ln();
+        let took = took.as_secs_f64().max(MIN_SECONDS);
+        let usual = (took / self.slowness(agent)).max(MIN_SECONDS).ln();
         let (mean, seen) = self.classes.entry(class.into()).or_insert((usual, 0));
         *seen += 1;
         let gain = self.policy.class_gain.max(1.0 / f64::from(*seen));
         *mean += gain * (usual - *mean);
-        let ratio = took / estimate.as_secs_f64().max(SHORTEST);
+        let ratio = took / estimate.as_secs_f64().max(MIN_SECONDS);
         self.record_ratio(agent, ratio, self.policy.agent_gain);
     }
 
-    /// Takes in how an agent's work compares with what was expected of it.
+    /// Takes in a ratio of actual to expected run time at an agent, with weight `gain`.
     pub fn record_ratio(&mut self, agent: &str, ratio: f64, gain: f64) {
         let own = self.agents.entry(agent.into()).or_insert(self.median);
         let (least, most) = self.policy.slowness_bounds;
@@ -80,7 +80,8 @@
         *own += gain * (ratio - *own);
     }
 
-    /// Compares the agents anew. To be called fifty times a second.
+    /// Recomputes the median of the agents, and moves each agent a little towards it. To be called fifty
+    /// times a second.
     pub fn update_median(&mut self) {
         let mut all: Vec<f64> = self.agents.values().copied().collect();
         all.sort_unstable_by(f64::total_cmp);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Forgets an agent whose backend server was replaced.
+    /// Forgets the speed of an agent, since its backend server was replaced.
     pub fn forget_agent(&mut self, agent: &str) {
         self.agents.remove(agent);
     }
--- a/src/decide/besteffort/message.rs
+++ b/src/decide/besteffort/message.rs
@@ -1,8 +1,8 @@
-//! What entries and agents say to each other about best-effort jobs; JSON lines on the wire.
+//! Messages between entries and agents about best-effort jobs; each is one line of JSON on the wire.
 //!
-//! The entry connects. Each side sends one line for all that waits at the moment, at least one a
-//! heartbeat. A line of the entry repeats the agent's clock as last heard, so that the agent can
-//! tell how old it is, however long the network held it back.
+//! The entry opens the connection. Each side gathers what is due at the moment into one message, and sends at
+//! least one per heartbeat. A message of the entry repeats the agent's clock as last received, so that the
+//! agent can tell how old the message is, however long the network delayed it.
 
 use std::fmt;
 
@@ -12,28 +12,28 @@
 use crate::decide::besteffort::evacuation;
 use crate::id;
 
-/// Longest line that is read, in bytes: a hundred starts with inputs of four kilobytes each.
+/// Longest message that is read, in bytes: a hundred starts with inputs of four kilobytes each.
 pub const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 
-/// Names a job; chosen by its caller.
+/// The id that the caller chose for a job.
 pub type JobId = CompactString;
 
 /// Numbers the starts of one task over all entries; a later start has a larger number.
 pub type RunNumber = u64;
 
-/// Names one run of one task.
+/// Identifies one run of one task.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Run {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task inside the job, from 0.
+    /// Index of the task in the job, from 0.
     pub task: id::TaskIndex,
-    /// Which run of the task.
+    /// Tells the runs of the task apart.
     pub number: RunNumber,
 }
 
 impl Crash {
-    /// All tasks that may have caused it.
+    /// Returns all tasks that may have caused the crash.
     pub fn suspects(&self) -> impl Iterator<Item = &TaskName> {
         let known = self.proven.iter().chain(&self.likely);
         known.chain(&self.possible)
@@ -41,7 +41,7 @@
 }
 
 impl Run {
-    /// The task that it is a run of.
+    /// Returns the name of the task that this is a run of.
     pub fn task_name(&self) -> TaskName {
         TaskName {
             job: self.job.clone(),
@@ -50,12 +50,12 @@
     }
 }
 
-/// Names one task of a job.
+/// Identifies one task of a job.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct TaskName {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task inside the job, from 0.
+    /// Index of the task in the job, from 0.
     pub task: id::TaskIndex,
 }
 
@@ -65,49 +65,51 @@
     }
 }
 
-/// A backend server that has crashed, and what may have caused it.
+/// Reports that a backend server has crashed, and which tasks may have caused it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Crash {
-    /// Which of the backend servers beside the agent, counted over the agent's life.
+    /// Counts the incarnations of the backend server that this incarnation of the agent has had beside it.
     pub server: u64,
-    /// Suspects that were on probation there, when nothing else began; then no others are named.
+    /// Suspects that were on probation on the server while nothing else began. Where there are any, the other
+    /// two lists are empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub proven: Vec<TaskName>,
-    /// Tasks that had just begun on it, or may have.
+    /// Tasks that had just begun on the server, or may have begun.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub likely: Vec<TaskName>,
-    /// Tasks that had run on it for a while. Neither these nor others are named where the backend server
+    /// Tasks that had run on the server for a while. All three lists are empty where the backend server
     /// turned out to be alive.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub possible: Vec<TaskName>,
 }
 
-/// Room on a backend server. Signed, unlike [`Needs`](crate::task::Needs): what is left goes below nothing where a
-/// backend server has shrunk under its runs, or several entries have counted on the same room.
+/// Room on a backend server. Signed, unlike [`Needs`](crate::task::Needs): the remaining room is negative
+/// where a backend server has shrunk below what its runs take, or where several entries have counted on the
+/// same room.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Room {
     /// Processor time, in thousandths of a core.
     pub cpu: i64,
     /// Memory, in megabytes.
     pub memory_mb: i64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: i64,
 }
 
 impl Room {
-    /// Whether there is none at all.
+    /// Whether every part is zero.
     pub fn is_empty(&self) -> bool {
         *self == Room::default()
     }
 
-    /// Whether `need` fits.
+    /// Whether `need` fits into this room.
     pub fn fits(&self, need: &Room) -> bool {
         need.cpu <= self.cpu
             && need.memory_mb <= self.memory_mb
             && need.accelerators <= self.accelerators
     }
 
-    /// The larger of each.
+    /// Returns the larger value of each part.
     pub fn max(&self, other: &Room) -> Room {
         Room {
             cpu: self.cpu.max(other.cpu),
@@ -116,7 +118,7 @@
         }
     }
 
-    /// What is left without `need`.
+    /// Returns this room less `need`; parts may become negative.
     pub fn minus(&self, need: &Room) -> Room {
         Room {
             cpu: self.cpu - need.cpu,
@@ -125,7 +127,7 @@
         }
     }
 
-    /// What there is with `need` given back.
+    /// Returns this room with `need` added.
     pub fn plus(&self, need: &Room) -> Room {
         Room {
             cpu: self.cpu + need.cpu,
@@ -135,41 +137,43 @@
     }
 }
 
-/// Who an agent is, and what it still has of the entry's; the first line of a link.
+/// Introduces an agent, with the entry's runs that it still has; sent in the first message of a link.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hello {
-    /// The agent.
+    /// The agent's id.
     pub agent: id::AgentId,
-    /// Which life of it.
+    /// Tells this incarnation of the agent from earlier ones.
     #[serde(rename = "life")]
     pub incarnation: id::Incarnation,
-    /// Its failure domain.
+    /// The failure domain of the agent and its backend server.
     pub failure_domain: CompactString,
-    /// Runs of this entry that wait, run or are being stopped. What the entry started on an earlier
-    /// link and isn't here nor in `ended` never runs.
+    /// Runs of this entry that wait, run or are being stopped. A run that the entry started on an earlier
+    /// link and that is neither here nor in `ended` never begins any more.
     pub runs: Vec<Run>,
-    /// Latest ends of this entry's runs; they may have been lost on an earlier link.
+    /// The latest ends of this entry's runs, since their reports may have been lost on an earlier link.
     pub ended: Vec<RunEnd>,
 }
 
-/// One life of a backend server.
+/// One incarnation of a backend server.
 ///
-/// The next life may go by the same id, so that the id alone names no life. Whatever is remembered of a
-/// backend server, and every number that it counts or clock that it reads, belongs to one life. Lives are
-/// the same or not, and never earlier or later: the time of day that they read at their start may have
-/// been set back in between.
+/// The next incarnation may have the same id, so that the id alone doesn't identify an incarnation. Whatever
+/// is remembered of a backend server, and every number or clock that it sends, belongs to one incarnation.
+/// Two incarnations can be compared for equality, but not ordered: the time of day that they read at their
+/// start may have been set back in between.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ServerIncarnation {
-    /// What the backend server is called; empty where none has announced itself.
+    /// The backend server's id; empty where none has announced itself.
     #[serde(rename = "instance")]
     pub id: CompactString,
-    /// When this life began, in milliseconds since 1970 by its own time of day; none where it doesn't say.
+    /// When this incarnation began, in milliseconds since 1970 by its own time of day; none where it doesn't
+    /// say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born_ms: Option<u64>,
 }
 
 impl ServerIncarnation {
-    /// The life with an id of its own.
+    /// Returns the incarnation of a backend server that doesn't say when it began, and so is identified by
+    /// its id alone.
     pub fn with_id(id: impl Into<CompactString>) -> ServerIncarnation {
         ServerIncarnation {
             id: id.into(),
@@ -178,28 +182,28 @@
     }
 }
 
-/// What a backend server says of itself.
+/// The announcement that a backend server repeats about itself.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
-    /// What it is.
+    /// The backend server's present state.
     pub backend: Backend,
-    /// Counts the heartbeats of one life, so that a late one can be told.
+    /// Counts the heartbeats of one incarnation, so that a heartbeat that arrives late can be recognised.
     pub number: u64,
 }
 
-/// The backend server beside an agent.
+/// The backend server beside an agent, as it announced itself.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Backend {
-    /// Which life of it.
+    /// The incarnation that announced itself.
     #[serde(flatten)]
     pub incarnation: ServerIncarnation,
     /// The service that it belongs to.
     pub service: CompactString,
-    /// Its kind, rack and whatever else tasks may ask for.
+    /// Its kind, its rack and whatever else tasks may require.
     pub labels: Vec<CompactString>,
-    /// All of its room.
+    /// Its room when idle.
     pub size: Room,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub takes_work: bool,
 }
 
@@ -207,20 +211,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunOutcome {
-    /// It was done.
+    /// The task is done.
     Done,
-    /// It failed, through its own fault or the backend server's.
+    /// The run failed, through a fault of its own or of the backend server.
     Failed,
-    /// It was stopped or lost; it doesn't run any more and may be started again.
+    /// The run was stopped or lost. It has ended, and its task may be started again.
     Gone,
-    /// It never began: there was no room in time, or the start came too late.
+    /// The run never began: there was no room in time, or the start arrived too late.
     NotRun,
-    /// The backend server turned it away since it is unwell; it never began.
+    /// The run never began: the backend server rejected it because it is unwell.
     Rejected,
 }
 
 impl RunOutcome {
-    /// Its name in logs and metrics.
+    /// Returns the outcome's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RunOutcome::Done => "done",
@@ -232,59 +236,59 @@
     }
 }
 
-/// The end of one run.
+/// Reports the end of one run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RunEnd {
-    /// The run.
+    /// The run that ended.
     pub run: Run,
     /// How it ended.
     #[serde(rename = "how")]
     pub outcome: RunOutcome,
-    /// For how long it ran, in milliseconds.
+    /// How long it ran, in milliseconds.
     #[serde(default)]
     pub took_ms: u64,
 }
 
-/// How far a run has come.
+/// Reports the progress of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Progress {
-    /// The run.
+    /// The run that makes the progress.
     pub run: Run,
-    /// Hundredths of its work.
+    /// The part of the work that is done, in percent.
     pub percent: u8,
-    /// For how long it has run, in milliseconds.
+    /// How long the run has been going, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A line of an agent.
+/// A message from an agent to an entry.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct AgentMessage {
     /// The agent's clock, in milliseconds since its machine started, suspensions included.
     pub now_ms: u64,
-    /// Starts of this link that have been read.
+    /// Number of starts that the agent has read on this link.
     #[serde(rename = "taken")]
     pub starts_read: u64,
-    /// Room that nobody uses or waits for, and that isn't kept for another entry.
+    /// Room that no run uses or waits for, and that isn't reserved for another entry.
     pub free: Room,
-    /// The part of it that is kept for this entry for a moment. The entry's next line either uses it or
-    /// gives it back.
+    /// The part of `free` that is reserved for this entry for a moment. The entry's next message either uses
+    /// it or gives it back.
     #[serde(default, skip_serializing_if = "Room::is_empty")]
     pub lent: Room,
-    /// How many entries compete for the room: this one, and the others with work waiting.
+    /// Number of entries that compete for the room: this one, and the others that have work waiting.
     pub sharers: u32,
-    /// Who speaks; on the first line only.
+    /// Introduces the agent, in the first message of a link only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hello: Option<Hello>,
-    /// The backend server, where it changed.
+    /// The backend server's state, where it changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backend: Option<Backend>,
-    /// Crashes of the backend server, whoever's runs it had.
+    /// Crashes of the backend server, whichever entry's runs it had.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<Crash>,
-    /// Runs that have ended.
+    /// The entry's runs that have ended.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<RunEnd>,
-    /// How far the entry's runs are.
+    /// The progress of the entry's runs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub progress: Vec<Progress>,
 }
@@ -300,58 +304,59 @@
 /// An order to start a run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Start {
-    /// The run.
+    /// The run to start.
     pub run: Run,
-    /// What the backend server gets.
+    /// The task's input, passed on to the backend server.
     pub input: CompactString,
-    /// Room that it takes.
+    /// Room that the run takes.
     pub need: Room,
-    /// Urgency of its class; 0 goes first where several wait.
+    /// Urgency of its class; where several runs wait, 0 goes first.
     pub priority: u32,
-    /// Within a priority, smaller goes first: the latest start that meets the target.
+    /// Within a priority the smaller goes first: the latest start that still meets the target, in
+    /// milliseconds on the agent's clock.
     pub urgency_ms: u64,
-    /// When it must have ended, on the agent's clock.
+    /// When the run must have ended, in milliseconds on the agent's clock.
     pub deadline_ms: u64,
-    /// Longest that it may wait at the agent for room.
+    /// Longest time that the run may wait at the agent for room, in milliseconds.
     pub patience_ms: u64,
-    /// How much speaks for its task as the cause of crashes; see
+    /// Suspicion points of the task as the cause of crashes; see
     /// [`crashes`](crate::decide::besteffort::crashes).
     #[serde(default, skip_serializing_if = "is_zero")]
     pub suspicion: u32,
 }
 
-/// Work that waits at an entry for room: its most urgent task, and how many tasks there are.
+/// The work that waits at an entry for room: its most urgent task, and the number of tasks.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaitingWork {
-    /// Urgency of its class; 0 goes first.
+    /// Urgency of the task's class; 0 goes first.
     pub priority: u32,
-    /// Within a priority, smaller goes first: the latest start that meets the target, on the agent's
-    /// clock.
+    /// Within a priority the smaller goes first: the latest start that still meets the target, in
+    /// milliseconds on the agent's clock.
     pub urgency_ms: u64,
-    /// Room that it takes.
+    /// Room that the task takes.
     pub need: Room,
-    /// Tasks that wait, this one included.
+    /// Number of tasks that wait, this one included.
     pub tasks: u32,
 }
 
-/// A line of an entry.
+/// A message from an entry to an agent.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EntryMessage {
-    /// The agent's clock as last heard on this link.
+    /// The agent's clock as last received on this link, in milliseconds.
     pub seen_ms: u64,
-    /// Which entry speaks, and which life of it; on the first line only.
+    /// The incarnation of the entry that sends, in the first message of a link only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entry: Option<EntryIncarnation>,
-    /// Counts the links that the entry has opened; on the first line only. Of two links of one entry the later one
-    /// holds.
+    /// Counts the links that the entry has opened, in the first message of a link only. Of two links of one
+    /// entry the later one counts.
     #[serde(default, skip_serializing_if = "is_none")]
     pub link: u64,
-    /// What waits at the entry for room, if anything does.
+    /// The work that waits at the entry for room, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "wants")]
     pub waiting: Option<WaitingWork>,
-    /// Whether the agent's failure domain is evacuated; on a link's first line after the agent has said
-    /// who it is, and when it changes. It holds for the starts of the same line already.
+    /// Whether the agent's failure domain is evacuated. It is sent in the first message after the agent has
+    /// introduced itself and on each change, and applies already to the starts of the same message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuation: Option<evacuation::DomainState>,
     /// Runs to start.
@@ -362,12 +367,12 @@
     pub stops: Vec<Run>,
 }
 
-/// One life of an entry.
+/// One incarnation of an entry.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct EntryIncarnation {
-    /// The entry.
+    /// The entry's id.
     pub entry: id::EntryId,
-    /// Which life of it.
+    /// Tells this incarnation of the entry from earlier ones.
     #[serde(rename = "life")]
     pub incarnation: id::Incarnation,
 }
--- a/src/decide/besteffort/mod.rs
+++ b/src/decide/besteffort/mod.rs
@@ -1,14 +1,16 @@
-//! Decisions for best-effort jobs, which are kept nowhere and answered when they have ended.
+//! Decisions for best-effort jobs. Such jobs are stored nowhere and are answered when they have ended.
 //!
-//! The entry that a job came to is its only owner: [`board`] holds the jobs, places their tasks on
-//! agents and decides what a loss means; [`view`] is what an entry knows of one agent; [`learn`]
-//! turns run times into estimates; [`earlier_wait`] tells callers that come again; [`subset`] says which agents are
-//! linked to, [`asking`] which of these are asked for room, [`draw`] which of those that suit a task alike gets it;
-//! [`crashes`] which tasks crash what they run on; [`policy`] holds every threshold of these decisions.
+//! The entry that receives a job is its only owner. [`board`] holds the entry's jobs, places their tasks on
+//! agents and decides what the loss of an agent means. [`view`] is what an entry knows of one agent.
+//! [`learn`] turns run times into estimates. [`earlier_wait`] recognises callers that submit a job again, and
+//! [`flow`] measures the rate at which an entry gets room. [`subset`] chooses the agents that the entry links
+//! to, [`asking`] which of these to ask for room, and [`draw`] picks one of several agents that suit a task
+//! equally well. [`crashes`] finds the tasks that crash backend servers. [`policy`] holds every threshold of
+//! these decisions.
 //!
-//! At the agent, [`slots`] shares the backend server's room between entries and makes sure that nothing
-//! outlives the entry that asked for it; [`lease`] reckons how long the backend server may go on by
-//! itself. Both sides know by [`evacuation`] which failure domains get nothing new.
+//! At the agent, [`slots`] shares the backend server's room between entries and ensures that no run outlives
+//! the entry that asked for it. [`lease`] computes how long the backend server may go on without its agent.
+//! Entries and agents both know by [`evacuation`] in which failure domains nothing new may start.
 //! `docs/design/besteffort.md` has the argument.
 
 pub mod asking;
--- a/src/decide/besteffort/policy.rs
+++ b/src/decide/besteffort/policy.rs
@@ -1,146 +1,149 @@
 //! Every threshold and weight by which best-effort work is ordered, placed, refused and moved.
 //!
-//! One documented value each, handed down to the decisions, so that an experiment can vary them one at
-//! a time; `docs/design/decisions.md` has what callers gain by each. It is no setting of
-//! operators: these give classes and targets only. Time bounds that keep two runs of a task apart are in
-//! [`lease`](crate::decide::besteffort::lease), since they guard a promise and aren't weighed.
+//! Each is one documented value that the decisions are given, so that an experiment can vary them one at a
+//! time; `docs/design/decisions.md` says what callers gain by each. Operators can't set them: their settings
+//! hold classes and targets only. The time limits that keep two runs of a task apart are in
+//! [`lease`](crate::decide::besteffort::lease), since they guard a guarantee and aren't open to weighing.
 
 use std::time;
 
-/// How an entry decides.
+/// The thresholds of all decisions of an entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Admission and the forecast of the wait.
+    /// Refusing jobs, and the forecast of the wait.
     pub admission: Admission,
-    /// The choice of an agent for a task.
+    /// Choosing the agent for a task.
     pub placement: Placement,
-    /// Moving runs off slow and standing workers.
+    /// Moving runs off slow and stalled backend servers.
     pub relocation: Relocation,
-    /// Leaving failing workers alone.
+    /// Sending no work to backend servers that fail it.
     pub barring: Barring,
-    /// What run times teach.
+    /// Learning from run times.
     pub learning: Learning,
-    /// Which agents an entry links to.
+    /// Choosing the agents that an entry links to.
     pub subset: Subset,
 }
 
 /// When a job is refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// Share of a job's slack that may be expected to pass in the queue. Under lasting overload the wait
-    /// settles at this bound.
+    /// Largest part of a job's slack that the forecast may spend on waiting in the queue. Under lasting
+    /// overload the wait settles at this bound.
     pub max_slack_used: f64,
-    /// Least part of an equal share of the workers that an entry counts on before its own starts tell.
+    /// Part of an equal share of the backend servers that an entry counts on at least, while its own starts
+    /// don't show a larger one.
     pub min_share: f64,
-    /// Least part of its rate that is left for a class by more urgent ones; keeps the wait finite.
+    /// Least part of its room rate that an entry leaves to a class beside more urgent ones; keeps the
+    /// forecast finite.
     pub min_rate_left: f64,
 }
 
-/// Where a task goes.
+/// Where a task is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placement {
     /// How many times as long a task runs away from its data, where the settings don't say.
     pub far_factor: f64,
-    /// What an exchange with another failure domain takes more.
+    /// Time that an exchange with another failure domain takes in addition.
     pub other_domain_cost: time::Duration,
-    /// By which share of the run time a task may end later at an agent that counts as alike to the best: less
-    /// than between a sound and a slow worker, and more than chance does to the learned speed of agents.
+    /// By which part of its run time a task may end later at an agent that counts as equal to the best one.
+    /// It is less than the difference between a sound and a slow backend server, and more than chance causes
+    /// in the learned speed of agents.
     pub alike_margin: f64,
-    /// Slowness from which an agent gets work only if the target can still be met there.
+    /// Slowness from which an agent gets a task only if the task can still meet its target there.
     pub slow_from: f64,
-    /// How many times as long a task is taken to run at the agent that had it last, which lost, failed or
-    /// turned it away: another one is tried first unless it is that much slower.
+    /// Factor on the expected run time at the agent that had the task last, and lost it, failed it or had no
+    /// room for it. Another agent is tried first unless it is slower by more than that.
     pub same_agent_factor: f64,
-    /// Longest that a start may wait at an agent that was full on arrival, because another entry was
-    /// quicker. Longer, and the entry could have placed it elsewhere.
+    /// Longest time that a start may wait at an agent that was full on arrival, because another entry was
+    /// quicker. After a longer wait the entry could have placed the task elsewhere.
     pub max_wait_at_agent: time::Duration,
-    /// Share of a backend server's room that late work leaves free.
+    /// Part of a backend server's room that late work leaves free.
     pub share_kept_from_late: f64,
-    /// Tasks at the head of the queue that may be passed over because nothing has room for them.
+    /// Most tasks at the head of the queue that are passed over because nothing has room for them.
     pub max_passed_over: usize,
 }
 
-/// When a run is stopped to begin elsewhere.
+/// When a run is stopped so that its task can start elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Relocation {
-    /// What a move costs: the stop, and two exchanges.
+    /// Time that a move takes: the stop, and two exchanges.
     pub move_cost: time::Duration,
-    /// How many times sooner the end elsewhere has to be: estimates scatter, and a move throws the work done so
-    /// far away.
+    /// How many times sooner the task has to end elsewhere: estimates scatter, and a move discards the work
+    /// done so far.
     pub min_gain: f64,
-    /// Shortest time without progress that counts as standing still: a listing and a line may be on their way.
+    /// Shortest time without progress that counts as a stall: a listing and a message may be on their way.
     pub min_standstill: time::Duration,
-    /// Hundredths that a sound worker would have done in that time, at least.
+    /// Percent of the work that a sound backend server would have done in that time, at least.
     pub min_expected_percent: f64,
-    /// Weight of a standstill and of a slow run in the agent's slowness.
+    /// Weight of a stall or a slow run in the agent's slowness.
     pub learning_weight: f64,
-    /// Age from which a run's pace tells anything.
+    /// Age from which the pace of a run is judged.
     pub min_age: time::Duration,
-    /// Slowness that one run on its own doesn't show: an agent must be known as slow to lose a run.
+    /// Slowness that an agent must have to lose a run; one slow run alone doesn't reach it.
     pub min_slowness: f64,
 }
 
-/// When an agent whose worker fails gets no work.
+/// When an agent whose backend server fails runs gets no work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Barring {
-    /// Weight of past failures, each counted as 1, after which an agent is barred and then gets one task
+    /// Weight of past failures, each counted as 1, from which an agent is barred and afterwards gets one task
     /// at a time. A second failure within two tasks of the first reaches it.
     pub barred_from: f64,
-    /// What a task that was done leaves of that weight.
+    /// Factor on that weight for each task that was done.
     pub success_factor: f64,
-    /// Weight under which an agent counts as sound again.
+    /// Weight below which an agent counts as sound again.
     pub sound_below: f64,
-    /// How long such an agent is left alone before the next task is risked; doubled each time, up to the
-    /// longest.
+    /// How long a barred agent gets no work before the next task is risked; doubled each time, up to
+    /// `longest_bar`.
     pub first_bar: time::Duration,
-    /// See `first`.
+    /// Longest time that an agent is barred at a stretch.
     pub longest_bar: time::Duration,
-    /// How long an agent that turned a start away is passed over: the time in which its word of what room
-    /// it has arrives.
+    /// How long an agent that had no room for a start is passed over: the time until its message on its
+    /// present room arrives.
     pub no_room_pause: time::Duration,
 }
 
 /// How many links an entry keeps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Subset {
-    /// Agents that an entry links to at any time. So many have room for a job of some hundred tasks at an ordinary
-    /// load, and hold sound ones enough to tell slow ones by.
+    /// Number of agents that an entry links to at any time. So many have room for a job of some hundred tasks
+    /// at an ordinary load, and hold enough sound agents to tell slow ones by comparison.
     pub base_size: usize,
-    /// How many of the own failure domain stand before one of another.
+    /// Number of agents of the entry's own failure domain for each one of another.
     pub own_per_other: usize,
-    /// Most agents that it links to beyond these while work waits.
+    /// Most agents that an entry links to beyond the base while work waits.
     pub max_extra: usize,
-    /// How many of these at a time.
+    /// Number of these extra links that are opened at a time.
     pub extra_at_once: usize,
-    /// How long work waits before they are linked to, and the least until the next ones are.
+    /// How long work waits before extra links are opened, and the shortest time until the next ones are.
     pub extra_pause: time::Duration,
     /// How long a link may take to open on an entry VM that has used up its share of the processor.
     pub open_timeout: time::Duration,
-    /// How long no more are linked to after such that took hardly any work.
+    /// How long no more extra links are opened after some whose agents took hardly any work.
     pub no_room_pause: time::Duration,
-    /// How many agents near a job's data, or with what it needs, are linked to for it.
+    /// Number of agents near a job's data, or with what it requires, that are linked to for it.
     pub links_for_job: usize,
-    /// How long a job waits for these.
+    /// How long a job waits for these links.
     pub max_link_wait: time::Duration,
-    /// How long such a link is kept unused.
+    /// How long an extra link is kept unused.
     pub unused_timeout: time::Duration,
-    /// How long an agent may be out of reach before another stands in for it.
+    /// How long an agent may be unreachable before another one replaces it in the base.
     pub replaced_after: time::Duration,
 }
 
 /// How run times are weighed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Learning {
-    /// Weight of the declared time against the class's mean, both as logarithms.
+    /// Weight of the declared run time against the mean of the class, both as logarithms.
     pub declared_weight: f64,
     /// Weight of a new run time in the mean of a class.
     pub class_gain: f64,
     /// Weight of a new run time in the speed of an agent.
     pub agent_gain: f64,
-    /// Bounds of an agent's slowness, so that one strange run can't bar an agent or draw all work.
+    /// Bounds of an agent's slowness, so that one odd run can neither bar an agent nor draw all work to it.
     pub slowness_bounds: (f64, f64),
-    /// What a look at the agents leaves of a difference from their median, so that a worker that was slow is
-    /// tried again.
+    /// Factor on an agent's deviation from the median at each comparison of the agents, so that a backend
+    /// server that was slow is tried again.
     pub deviation_kept: f64,
 }
 
--- a/src/decide/besteffort/subset.rs
+++ b/src/decide/besteffort/subset.rs
@@ -1,14 +1,14 @@
-//! Which agents an entry keeps links to.
+//! Chooses the agents that an entry keeps links to.
 //!
-//! With a link from each entry to each agent, heartbeats grow with the product of both: at 183 entries and 800
-//! agents a thin entry spends more than half of its processor on links that carry nothing. So an entry links to
-//! a bounded part of the agents, mostly of its own failure domain, and reaches beyond it when work waits that the
-//! part has no room for, or needs a label or a size that the part lacks. What it opened so is closed again when
-//! it isn't used.
+//! With a link from each entry to each agent, heartbeats grow with the product of both: at 183 entries and
+//! 800 agents, an entry on a small VM spends more than half of its processor on links that carry nothing
+//! else. So an entry links to a bounded number of agents, its base, mostly in its own failure domain. It
+//! opens extra links when work waits for which the base has no room, or which requires a label or a size that
+//! the base lacks. Extra links are closed again when they aren't used.
 //!
-//! The base is the first agents of an order that depends on the entry's name and on theirs only: each entry
-//! has another one, an agent that comes or goes moves no other, and nothing has to be agreed upon.
-//! `docs/design/subsets.md` has the ways that were weighed and their figures.
+//! The base is the first agents of an order that depends only on the names of the entry and of the agents.
+//! Each entry has another order, an agent that comes or goes doesn't move the others, and the entries need no
+//! agreement. `docs/design/subsets.md` compares the alternatives, with figures.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,62 +22,63 @@
 use crate::decide::besteffort::policy;
 use crate::id;
 
-/// What is listed of an agent, for entries that have no link to it.
+/// What the platform lists of an agent, for entries that have no link to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedAgent {
-    /// Its name.
+    /// The agent's id.
     pub agent: id::AgentId,
-    /// Where it takes links.
+    /// The address at which the agent accepts links.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// The agent's failure domain.
     pub failure_domain: CompactString,
     /// The service of the backend server beside it.
     pub service: CompactString,
-    /// Kind, rack and whatever else tasks may ask of that backend server.
+    /// Kind and rack of that backend server, and whatever else tasks may require.
     pub labels: Vec<CompactString>,
-    /// Its room, were it idle.
+    /// Room of the backend server when idle.
     pub size: Room,
 }
 
-/// What an entry does about its links.
+/// A change in the links that an entry keeps.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LinkChange {
-    /// Keep a link to an agent.
+    /// Keep a link to the agent at this address.
     Open(id::AgentId, SocketAddr),
-    /// Close it and don't open it again.
+    /// Close the link to the agent, and don't open it again.
     Close(id::AgentId),
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    /// No link is wanted.
+    /// No link to the agent is wanted.
     Unwanted,
-    /// A link was asked for and has neither come up nor failed.
+    /// A link was asked for, and has neither come up nor failed.
     Opening,
     Up,
-    /// There is no link, though one is wanted, since then.
+    /// A link is wanted, and there has been none since this time.
     Missing(time::Duration),
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownAgent {
     member: ListedAgent,
     state: State,
-    /// When it was last of use beyond the base; none for the others.
+    /// When the link was last of use beyond the base; none for agents of the base and for those without a
+    /// link.
     extra_used_at: Option<time::Duration>,
 }
 
-/// The agents that an entry knows of, and which of them it links to.
+/// The agents that an entry knows, and which of them it links to.
 #[derive(Debug)]
 pub struct Subset {
     policy: policy::Subset,
     domain: CompactString,
     seed: u64,
-    known: BTreeMap<id::AgentId, Known>,
-    /// All agents, those to link to first.
+    known: BTreeMap<id::AgentId, KnownAgent>,
+    /// All agents, those to link to first at the front.
     order: Vec<id::AgentId>,
-    /// Whether agents have come or gone since `order` was reckoned.
-    is_stale: bool,
+    /// Whether agents have come or gone since `order` was computed.
+    is_order_stale: bool,
     reach: f64,
 }
 
@@ -90,12 +91,13 @@
             seed: xxh3::xxh3_64(name.as_bytes()),
             known: BTreeMap::new(),
             order: Vec::new(),
-            is_stale: false,
+            is_order_stale: false,
             reach: 1.0,
         }
     }
 
-    /// Takes in what is listed of an agent. One with another address is linked anew.
+    /// Takes in what is listed of an agent. Where its address has changed, the link is closed and opened
+    /// anew.
     pub fn list_agent(&mut self, member: ListedAgent) -> Option<LinkChange> {
         let name = member.agent.clone();
         let old = self.known.get(&name).map(|known| {
@@ -105,18 +107,19 @@
         });
         let (moved, stays, state, extra_used_at) =
             old.unwrap_or((false, false, State::Unwanted, None));
-        let known = Known {
+        let known = KnownAgent {
             member,
             state: if moved { State::Unwanted } else { state },
             extra_used_at,
         };
         self.known.insert(name.clone(), known);
-        self.is_stale |= !stays;
+        self.is_order_stale |= !stays;
         moved.then_some(LinkChange::Close(name))
     }
 
-    /// Takes in that an agent isn't listed any more. A link that is up proves more than a list: whoever took the row
-    /// away may have been cut off from the agent, and what runs there would be lost with the link.
+    /// Takes in that an agent isn't listed any more. A link that is up is kept, since it proves more than the
+    /// list: whoever removed the row may have been cut off from the agent, and closing the link would lose
+    /// the runs there.
     pub fn unlist_agent(&mut self, agent: &str) -> Option<LinkChange> {
         let known = self.known.get(agent)?;
         if known.state == State::Up {
@@ -124,18 +127,18 @@
         }
         let is_wanted = known.state != State::Unwanted;
         self.known.remove(agent);
-        self.is_stale = true;
+        self.is_order_stale = true;
         is_wanted.then(|| LinkChange::Close(agent.into()))
     }
 
-    /// The link to an agent is up.
+    /// Takes in that the link to an agent is up.
     pub fn link_up(&mut self, agent: &str) {
         if let Some(known) = self.known.get_mut(agent) {
             known.state = State::Up;
         }
     }
 
-    /// There is no link to an agent: it has ended, or couldn't be opened.
+    /// Takes in that there is no link to an agent, because it has ended or couldn't be opened.
     pub fn link_down(&mut self, now: time::Duration, agent: &str) {
         if let Some(known) = self.known.get_mut(agent) {
             if matches!(known.state, State::Opening | State::Up) {
@@ -144,13 +147,14 @@
         }
     }
 
-    /// Whether a link to an agent is wanted; one to an agent that isn't listed is the agent's own.
+    /// Whether a link to an agent is wanted. A link to an agent that isn't listed was opened earlier and is
+    /// kept.
     pub fn wants_link(&self, agent: &str) -> bool {
         let known = self.known.get(agent);
         known.is_none_or(|known| known.state != State::Unwanted)
     }
 
-    /// The agents that have been missing for so long.
+    /// Returns the agents whose wanted links have been missing for longer than `long`.
     pub fn agents_missing_for(
         &self,
         now: time::Duration,
@@ -162,19 +166,20 @@
         missing.map(|(name, _)| name.clone()).collect()
     }
 
-    /// How many agents are listed.
+    /// Counts the listed agents.
     pub fn listed_agents(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether a link is on its way that may bring room.
+    /// Whether a link to an agent is being opened and may bring room.
     pub fn is_link_opening(&self, agent: &str) -> bool {
         let known = self.known.get(agent);
         known.is_some_and(|known| known.state == State::Opening)
     }
 
-    /// How many times the linked agents there are with those that may be linked to next, as of the last change:
-    /// what waits needn't be refused for want of room before these were asked.
+    /// Returns the number of linked agents and of those that may be linked to next, divided by the number of
+    /// linked ones, as of the last change. Waiting work needn't be refused for lack of room before these
+    /// agents were asked.
     pub fn reach_factor(&self) -> f64 {
         self.reach
     }
@@ -204,8 +209,9 @@
         self.policy.max_extra.saturating_sub(extra.count())
     }
 
-    /// Opens links to agents beyond the base that suit some work, the nearest first. Returns which are on their
-    /// way, those of earlier calls included.
+    /// Opens links beyond the base to at most `most` agents that suit some work, the first of the order
+    /// first. Returns the agents whose links are being opened, those of earlier calls included, and the
+    /// changes.
     pub fn open_extra_links(
         &mut self,
         now: time::Duration,
@@ -240,8 +246,8 @@
         (opening, changes)
     }
 
-    /// Opens what the base lacks and closes what nobody has used for a while. `is_used` tells of an agent
-    /// whether it has work of this entry; its link stays.
+    /// Opens the links that the base lacks, and closes extra links that weren't used for a while. `is_used`
+    /// tells whether an agent has work of this entry; its link stays.
     pub fn review_links(
         &mut self,
         now: time::Duration,
@@ -275,8 +281,8 @@
         changes
     }
 
-    /// The first agents of the order. Those that have been missing for a while count no more: the next ones
-    /// stand in for them, and they are tried as long as they are among the first.
+    /// Returns the first agents of the order. Agents that have been missing for a while are replaced by the
+    /// next ones, but their links are still tried while they are among the first.
     fn base(&self, now: time::Duration) -> BTreeSet<id::AgentId> {
         let mut base = BTreeSet::new();
         let mut there = 0;
@@ -297,10 +303,11 @@
         base
     }
 
-    /// Brings the order up to date: of each failure domain the agents as drawn by this entry, some of its own and
-    /// then one of another in turn, so that the loss of a whole domain or rack leaves agents of others.
+    /// Updates the order: agents of the entry's own failure domain in an order that the entry draws, and
+    /// after every few of them one of another domain. The other domains take turns, so that the loss of a
+    /// whole domain or rack leaves agents of others.
     fn update_order(&mut self) {
-        if !std::mem::take(&mut self.is_stale) {
+        if !std::mem::take(&mut self.is_order_stale) {
             return;
         }
         let seed = self.seed;
@@ -323,7 +330,8 @@
                 own.extend(named);
             }
         }
-        // The first of each other domain, then the second of each; the sort keeps the order of the domains.
+        // The first of each other domain, then the second of each; the sort is stable and keeps the order of
+        // the domains.
         others.sort_by(|(a, _), (b, _)| -> Ordering { a.cmp(b) });
         let mut others = others.into_iter().map(|(_, name)| name);
         let mut order = Vec::with_capacity(self.known.len());
--- a/src/decide/besteffort/view.rs
+++ b/src/decide/besteffort/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one agent: its backend server, the room there, and whether it is heard.
+//! What an entry knows of one agent: its backend server, the room there, and when it was last heard.
 
 use std::collections::VecDeque;
 use std::time;
@@ -10,36 +10,36 @@
 use crate::decide::besteffort::policy;
 use crate::id;
 
-/// One agent.
+/// An agent as one entry knows it.
 #[derive(Clone, Debug)]
 pub struct AgentView {
-    /// Its name.
+    /// The agent's id.
     pub agent: id::AgentId,
     policy: policy::Barring,
-    /// Which life of it.
+    /// Tells this incarnation of the agent from earlier ones.
     pub incarnation: id::Incarnation,
-    /// Its link; none while it is cut off.
+    /// The link to the agent; none while it is cut off.
     pub link: Option<LinkNo>,
-    /// Its failure domain.
+    /// The failure domain of the agent and its backend server.
     pub failure_domain: CompactString,
-    /// The backend server beside it.
+    /// The backend server beside the agent, as last announced.
     pub backend: Backend,
-    /// The most room that this life of the backend server has had.
+    /// The most room that this incarnation of the backend server has had.
     pub largest_size: Room,
-    /// When it was heard last.
+    /// When the agent's last message arrived, or its link came up.
     pub heard_at: time::Duration,
-    /// Runs of ours that it has.
+    /// Number of runs of this entry that the agent has.
     pub run_count: u32,
-    /// How many entries compete for its room, this one included.
+    /// Number of entries that compete for the agent's room, this one included.
     pub competing_entries: u32,
     free: Room,
-    /// The part of it that the agent keeps for this entry until it answers.
+    /// The part of `free` that the agent reserves for this entry until the entry's next message.
     lent: Room,
     sent: u64,
-    unread: VecDeque<(u64, Room)>,
+    unread_starts: VecDeque<(u64, Room)>,
     failures: f64,
     barred_until: time::Duration,
-    bar: time::Duration,
+    next_bar: time::Duration,
     avoid_until: time::Duration,
 }
 
@@ -65,34 +65,34 @@
             free: Room::default(),
             lent: Room::default(),
             sent: 0,
-            unread: VecDeque::new(),
+            unread_starts: VecDeque::new(),
             failures: 0.0,
             barred_until: time::Duration::ZERO,
-            bar: policy.first_bar,
+            next_bar: policy.first_bar,
             avoid_until: time::Duration::ZERO,
         }
     }
 
-    /// Begins a new link.
+    /// Takes in that a new link to the agent is up.
     pub fn link_opened(&mut self, link: LinkNo, now: time::Duration) {
         self.link = Some(link);
         self.heard_at = now;
         self.sent = 0;
-        self.unread.clear();
+        self.unread_starts.clear();
     }
 
-    /// Takes in what the agent says of its room.
+    /// Takes in what a message of the agent says of its room and its backend server.
     pub fn update(&mut self, now: time::Duration, line: &AgentMessage) {
         self.heard_at = now;
         self.free = line.free;
         self.lent = line.lent;
         self.competing_entries = line.sharers.max(1);
         while self
-            .unread
+            .unread_starts
             .front()
             .is_some_and(|(n, _)| *n <= line.starts_read)
         {
-            self.unread.pop_front();
+            self.unread_starts.pop_front();
         }
         if let Some(backend) = &line.backend {
             if backend.incarnation != self.backend.incarnation {
@@ -104,35 +104,36 @@
         }
     }
 
-    /// Counts a start that was sent.
+    /// Counts a start that was sent to the agent.
     pub fn start_sent(&mut self, need: Room) {
         self.sent += 1;
         self.run_count += 1;
         if self.lent.fits(&need) {
             self.lent = self.lent.minus(&need);
         }
-        self.unread.push_back((self.sent, need));
+        self.unread_starts.push_back((self.sent, need));
     }
 
-    /// What the agent keeps for us and we don't use goes to others with our next line. Counted on any
-    /// longer, three of four starts in a burst met a worker that had given the room away.
+    /// Stops counting on room that the agent reserved for this entry and that no start has used: the agent
+    /// gives it to others on the entry's next message. When the room was counted any longer, three of four
+    /// starts in a burst reached an agent that had given it away.
     pub fn return_lent_room(&mut self) {
         self.free = self.free.minus(&self.lent);
         self.lent = Room::default();
     }
 
-    /// Counts runs of ours that it has no more.
+    /// Counts runs of this entry that the agent no longer has.
     pub fn runs_ended(&mut self, runs: u32) {
         self.run_count = self.run_count.saturating_sub(runs);
     }
 
-    /// Room that is left, less what the agent hasn't read yet.
+    /// Returns the room that is left, less what starts take that the agent hasn't read yet.
     pub fn free(&self) -> Room {
-        let unread = self.unread.iter();
-        unread.fold(self.free, |free, (_, need)| free.minus(need))
+        let unread_starts = self.unread_starts.iter();
+        unread_starts.fold(self.free, |free, (_, need)| free.minus(need))
     }
 
-    /// Whether a task may be sent now.
+    /// Whether a task may be sent to the agent now.
     pub fn accepts_tasks(&self, now: time::Duration) -> bool {
         let risked = self.failures >= self.policy.barred_from && self.run_count > 0;
         self.link.is_some()
@@ -142,23 +143,23 @@
             && !risked
     }
 
-    /// Whether it is there at all, sick or not.
+    /// Whether the agent is linked and its backend server accepts work, even if the agent is barred.
     pub fn is_in_service(&self) -> bool {
         self.link.is_some() && self.backend.takes_work
     }
 
-    /// A run failed, or the backend server turned it away. Returns whether the agent is barred now.
+    /// Counts a run that failed or that the backend server rejected. Returns whether the agent is barred now.
     pub fn run_failed(&mut self, now: time::Duration) -> bool {
         self.failures += 1.0;
         if self.failures < self.policy.barred_from {
             return false;
         }
-        self.barred_until = now + self.bar;
-        self.bar = (self.bar * 2).min(self.policy.longest_bar);
+        self.barred_until = now + self.next_bar;
+        self.next_bar = (self.next_bar * 2).min(self.policy.longest_bar);
         true
     }
 
-    /// A run was done.
+    /// Counts a run whose task is done.
     pub fn run_done(&mut self) {
         self.failures *= self.policy.success_factor;
         if self.failures < self.policy.sound_below {
@@ -166,14 +167,14 @@
         }
     }
 
-    /// Nothing speaks against the agent any more.
+    /// Forgets all failures of the agent, and lifts the bar.
     fn clear_failures(&mut self) {
         self.failures = 0.0;
-        self.bar = self.policy.first_bar;
+        self.next_bar = self.policy.first_bar;
         self.barred_until = time::Duration::ZERO;
     }
 
-    /// The agent had no room for a start.
+    /// Takes in that the agent had no room for a start, and passes it over for a moment.
     pub fn had_no_room(&mut self, now: time::Duration) {
         self.avoid_until = now + self.policy.no_room_pause;
     }
