--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -9,8 +9,8 @@
 mod crashes;
 mod entries;
 mod held;
+mod incarnations;
 mod lend;
-mod lives;
 mod order;
 mod server;
 
@@ -26,7 +26,7 @@
 pub use counts::{Counts, StaleMessage};
 pub use crashes::Isolation;
 use held::{Held, State};
-pub use lives::{Check, CheckResult};
+pub use incarnations::{Check, CheckResult};
 pub use order::{Listing, Order, Recipient, StartAnswer};
 
 /// Why runs are lost, in logs and metrics.
@@ -74,7 +74,7 @@
     newest_ms: u64,
     backend: Backend,
     /// Lives that may be there, while they are checked.
-    candidates: VecDeque<lives::Candidate>,
+    candidates: VecDeque<incarnations::Candidate>,
     checks: u64,
     /// Lives that are dead.
     past: HashSet<ServerIncarnation>,
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::besteffort::lease;
 use crate::decide::besteffort::message::{Run, RunOutcome};
-use crate::decide::besteffort::slots::lives::is_of;
+use crate::decide::besteffort::slots::incarnations::is_of;
 use crate::decide::besteffort::slots::{
     millis, Held, Listing, Slots, StaleMessage, StartAnswer, State, STOP_AGAIN,
 };
