--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -190,7 +190,7 @@
                 self.taken += 1;
                 slots.start_requested(now, &self.name, fresh, start);
             }
-            slots.update_wants(now, &self.name, line.seen_ms, line.waiting);
+            slots.update_waiting_work(now, &self.name, line.seen_ms, line.waiting);
             changed
         };
         flush(&self.inner);
--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -53,7 +53,7 @@
 }
 
 fn renew_if_late(inner: &Arc<Inner>, now: time::Duration) {
-    if mutex::lock(&inner.slots).renewal_overdue(now) {
+    if mutex::lock(&inner.slots).is_renewal_overdue(now) {
         let inner = inner.clone();
         tokio::spawn(async move {
             let _ = list_once(&inner, time::Duration::ZERO).await;
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -109,7 +109,7 @@
     }
 
     /// An agent has told of a crash of its backend server, and not on a link to this entry.
-    pub fn crash_elsewhere(&self, agent: &str, life: id::Incarnation, crash: &Crash) {
+    pub fn crash_reported(&self, agent: &str, life: id::Incarnation, crash: &Crash) {
         let now = clock::since_boot();
         mutex::lock(&self.inner.board).crash_reported(now, agent, life, crash);
         carry_out(&self.inner);
@@ -203,13 +203,13 @@
     }
 
     /// Whether agents are linked, and none is expected any more after the start.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_found_agents(&self) -> bool {
         self.linked_agents() > 0
             && mutex::lock(&self.inner.board).has_found_agents(clock::since_boot())
     }
 
     /// Agents that are wanted and have been out of reach for so long.
-    pub fn unreachable_for(&self, long: time::Duration) -> Vec<id::AgentId> {
+    pub fn agents_unreachable_for(&self, long: time::Duration) -> Vec<id::AgentId> {
         mutex::lock(&self.inner.board).agents_unreachable_for(clock::since_boot(), long)
     }
 
--- a/src/decide/besteffort/slots/lend.rs
+++ b/src/decide/besteffort/slots/lend.rs
@@ -28,7 +28,7 @@
 impl Slots {
     /// Takes in what waits at an entry. A line that answers a loan gives back what the starts in it
     /// haven't used.
-    pub fn update_wants(
+    pub fn update_waiting_work(
         &mut self,
         now: time::Duration,
         name: &EntryIncarnation,
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether a renewal is overdue while something runs, so that one more is worth a call.
-    pub fn renewal_overdue(&self, now: time::Duration) -> bool {
+    pub fn is_renewal_overdue(&self, now: time::Duration) -> bool {
         self.is_working()
             && self
                 .lease
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -72,7 +72,7 @@
         ("b", wants(0, 9, 2)),
         ("c", wants(0, 8, 2)),
     ] {
-        slots.update_wants(ms(START + 1), &entry(name), START, wants);
+        slots.update_waiting_work(ms(START + 1), &entry(name), START, wants);
     }
     one_ends(&mut slots, START + 10);
     let told = ["a", "b", "c"].map(|name| {
@@ -89,15 +89,15 @@
 #[test]
 fn room_that_isn_t_used_goes_to_the_next() {
     let mut slots = full(&["a", "b"]);
-    slots.update_wants(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
-    slots.update_wants(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
     one_ends(&mut slots, START + 10);
     assert_eq!(slots.next_message(&entry("a"), ms(START + 10)).lent, NEED);
     assert!(!slots.has_unsent(&entry("b")));
     // A line that left before the place was offered says nothing about it.
-    slots.update_wants(ms(START + 11), &entry("a"), START + 9, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 11), &entry("a"), START + 9, wants(0, 5, 1));
     assert!(!slots.has_unsent(&entry("b")));
-    slots.update_wants(ms(START + 12), &entry("a"), START + 10, None);
+    slots.update_waiting_work(ms(START + 12), &entry("a"), START + 10, None);
     assert!(slots.has_unsent(&entry("b")));
     assert_eq!(slots.next_message(&entry("b"), ms(START + 12)).lent, NEED);
 }
@@ -106,15 +106,15 @@
 #[test]
 fn room_isn_t_kept_for_an_entry_that_doesn_t_answer() {
     let mut slots = full(&["a", "b"]);
-    slots.update_wants(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
-    slots.update_wants(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
     one_ends(&mut slots, START + 10);
     assert_eq!(slots.next_message(&entry("a"), ms(START + 10)).lent, NEED);
     slots.message_received(ms(START + 30), &entry("a"), START + 5);
     slots.tick(ms(START + 40));
     // What is lent lapses, and the first entry still is the most urgent one that asks.
     assert_eq!(slots.next_message(&entry("a"), ms(START + 40)).lent, NEED);
-    slots.update_wants(ms(START + 41), &entry("a"), START + 40, None);
+    slots.update_waiting_work(ms(START + 41), &entry("a"), START + 40, None);
     assert_eq!(slots.next_message(&entry("b"), ms(START + 41)).lent, NEED);
 }
 
@@ -122,17 +122,17 @@
 #[test]
 fn a_start_takes_the_place_that_was_kept_for_it() {
     let mut slots = full(&["a", "b"]);
-    slots.update_wants(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
     one_ends(&mut slots, START + 10);
     assert_eq!(slots.next_message(&entry("b"), ms(START + 10)).lent, NEED);
     slots.next_message(&entry("a"), ms(START + 10));
-    slots.update_wants(ms(START + 11), &entry("a"), START, wants(0, 1, 1));
+    slots.update_waiting_work(ms(START + 11), &entry("a"), START, wants(0, 1, 1));
     assert!(!slots.has_unsent(&entry("a")), "the place is kept");
     slots.take_orders();
     let run = besteffort::run("lent", 0, 1);
     let start = besteffort::start(run.clone(), START + 12);
     slots.start_requested(ms(START + 12), &entry("b"), true, start);
-    slots.update_wants(ms(START + 12), &entry("b"), START + 10, None);
+    slots.update_waiting_work(ms(START + 12), &entry("b"), START + 10, None);
     assert_eq!(slots.take_orders().len(), 1, "it begins at once");
     assert!(!slots.has_unsent(&entry("a")), "nothing is left to lend");
 }
@@ -177,9 +177,9 @@
         ["a", "b", "c"].map(|name| slots.next_message(&entry(name), ms(START + 2)).sharers)
     };
     assert_eq!(sharers(&mut slots), [1, 1, 1]);
-    slots.update_wants(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
     assert_eq!(sharers(&mut slots), [1, 2, 2]);
-    slots.update_wants(ms(START + 1), &entry("b"), START, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(0, 5, 1));
     assert_eq!(sharers(&mut slots), [2, 2, 3]);
     slots.message_received(ms(START + 500), &entry("a"), START + 500);
     let late = slots.next_message(&entry("a"), ms(START + 500));
--- a/tests/besteffort_load/world.rs
+++ b/tests/besteffort_load/world.rs
@@ -537,7 +537,7 @@
         }
         agent
             .slots
-            .update_wants(now, &of, line.seen_ms, line.waiting);
+            .update_waiting_work(now, &of, line.seen_ms, line.waiting);
         if is_heartbeat {
             self.agent_says(e, a);
         }
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -168,7 +168,7 @@
         need: NEED,
         tasks: 2,
     };
-    slots.update_wants(ms(START + 20), &b, START, Some(wants));
+    slots.update_waiting_work(ms(START + 20), &b, START, Some(wants));
     assert_eq!(slots.next_message(&b, ms(START + 20)).lent.cpu, 2_000);
     resize(&mut slots, START + 21, 4, 0);
     let line = slots.next_message(&a, ms(START + 21));
--- a/tests/besteffort_sim/world/links.rs
+++ b/tests/besteffort_sim/world/links.rs
@@ -151,7 +151,7 @@
                     link.taken += 1;
                     slots.start_requested(now_agent, &name, fresh, start);
                 }
-                slots.update_wants(now_agent, &name, line.seen_ms, line.waiting);
+                slots.update_waiting_work(now_agent, &name, line.seen_ms, line.waiting);
                 self.flush_agent(a);
             }
             Line::ToEntry(line) if link.entry_open => {
