--- a/tests/model/digest.rs
+++ b/tests/model/digest.rs
@@ -1,4 +1,5 @@
-//! Prints of shipped state that don't depend on the order in which a hash map iterates.
+//! Digests of the shipped types' states that don't depend on the order in which a hash map
+//! iterates.
 
 use std::fmt;
 use std::hash;
@@ -6,38 +7,38 @@
 
 use xxhash_rust::xxh3;
 
-/// A piece of shipped state with its print; clones share it until it changes.
+/// A value with its digest; clones share the value until one of them changes.
 #[derive(Debug)]
-pub struct Part<T> {
+pub struct Digested<T> {
     value: Arc<T>,
-    print: u128,
+    digest: u128,
 }
 
-impl<T> Clone for Part<T> {
-    fn clone(&self) -> Part<T> {
-        Part {
+impl<T> Clone for Digested<T> {
+    fn clone(&self) -> Digested<T> {
+        Digested {
             value: self.value.clone(),
-            print: self.print,
+            digest: self.digest,
         }
     }
 }
 
-impl<T> hash::Hash for Part<T> {
+impl<T> hash::Hash for Digested<T> {
     fn hash<H: hash::Hasher>(&self, state: &mut H) {
-        self.print.hash(state);
+        self.digest.hash(state);
     }
 }
 
-impl<T: Clone + Default + fmt::Debug> Default for Part<T> {
-    fn default() -> Part<T> {
-        Part::open(T::default())
+impl<T: Clone + Default + fmt::Debug> Default for Digested<T> {
+    fn default() -> Digested<T> {
+        Digested::open(T::default())
     }
 }
 
-impl<T: Clone + fmt::Debug> Part<T> {
-    pub fn open(value: T) -> Part<T> {
-        Part {
-            print: print(&value),
+impl<T: Clone + fmt::Debug> Digested<T> {
+    pub fn open(value: T) -> Digested<T> {
+        Digested {
+            digest: debug_digest(&value),
             value: Arc::new(value),
         }
     }
@@ -46,34 +47,35 @@
         &self.value
     }
 
-    /// Changes the piece and prints it anew.
+    /// Changes the value and computes its digest again.
     pub fn change<R>(&mut self, f: impl FnOnce(&mut T) -> R) -> R {
         let result = f(Arc::make_mut(&mut self.value));
-        self.print = print(&*self.value);
+        self.digest = debug_digest(&*self.value);
         result
     }
 
-    pub fn print(&self) -> u128 {
-        self.print
+    pub fn digest(&self) -> u128 {
+        self.digest
     }
 }
 
-/// Digests the debug text, with the entries of every brace sorted: fields have names and the
-/// entries of maps have keys, so that their order tells nothing.
-pub fn print(value: &impl fmt::Debug) -> u128 {
+/// Digests the debug text of a value, with the entries of every pair of braces sorted. Fields have
+/// names and entries of maps have keys, so their order carries no information.
+pub fn debug_digest(value: &impl fmt::Debug) -> u128 {
     let text = format!("{value:?}");
     let mut at = 0;
-    let sorted = group(text.as_bytes(), &mut at);
+    let sorted = sorted_group(text.as_bytes(), &mut at);
     xxh3::xxh3_128(&sorted)
 }
 
-/// Reads up to the closing bracket of the group that begins at `at`.
-fn group(text: &[u8], at: &mut usize) -> Vec<u8> {
+/// Reads up to the closing bracket of the group that begins at `at`, and returns its text with the
+/// entries sorted if the bracket is a brace.
+fn sorted_group(text: &[u8], at: &mut usize) -> Vec<u8> {
     let mut entries = vec![Vec::new()];
-    let mut sorts = false;
+    let mut is_braced = false;
     let mut quoted = false;
     if *at > 0 {
-        sorts = text[*at - 1] == b'{';
+        is_braced = text[*at - 1] == b'{';
     }
     while *at < text.len() {
         let byte = text[*at];
@@ -91,10 +93,10 @@
             _ if quoted => entry.push(byte),
             b'{' | b'[' | b'(' => {
                 entry.push(byte);
-                entry.extend(group(text, at));
+                entry.extend(sorted_group(text, at));
             }
             b'}' | b']' | b')' => {
-                if sorts {
+                if is_braced {
                     entries.sort();
                 }
                 let mut joined = entries.join(&b',');
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Explores the shipped claim, fence, takeover and join code breadth first, over all orders of
-//! what can happen within stated bounds (`docs/design/claims.md` has the specification).
+//! Model checker for claims, fencing, takeover and joining: explores the shipped code breadth first
+//! over all orders of events within stated bounds (`docs/design/claims.md` has the specification).
 
 mod digest;
 mod moves;
@@ -14,28 +14,29 @@
 
 use world::{Agent, Bounds, Joining, Mutation, Node, Row, Table, Truth, Used, World};
 
-/// The world before anything happened: both agents have joined, nobody owns the cell.
+/// The initial state: both agents have joined, or one in bounds with a newcomer, and no entry owns
+/// the cell.
 fn start(bounds: Bounds) -> Node {
     let agent = || {
         let mut ledger = ledger::Ledger::default();
         ledger.join(0);
         Agent {
-            ledger: digest::Part::open(ledger),
-            life: 1,
+            ledger: digest::Digested::open(ledger),
+            incarnation: 1,
             joining: Joining::Joined,
             owner: None,
-            greeted: 0,
+            newest_hello: 0,
             running: BTreeSet::new(),
         }
     };
     let row = || Row {
-        life: 1,
+        incarnation: 1,
         lost: Vec::new(),
     };
     let mut agents = [agent(), agent()];
     let mut rows = [row(), row()];
     if bounds.newcomer {
-        agents[1].ledger = digest::Part::default();
+        agents[1].ledger = digest::Digested::default();
         agents[1].joining = Joining::Nothing;
         rows[1] = Row::default();
     }
@@ -50,13 +51,13 @@
         table,
         entries: Default::default(),
         agents,
-        wire: BTreeSet::new(),
+        messages: BTreeSet::new(),
         truth: Truth::default(),
         step: String::new(),
     })
 }
 
-/// Looks for the shortest story that breaks a promise.
+/// Searches for the shortest trace of events that breaks a promise.
 fn search(bounds: Bounds) -> Option<String> {
     let begun = std::time::Instant::now();
     let states = Cell::new(0_u64);
@@ -68,14 +69,16 @@
         }
         moves::all(node)
     };
-    let begin = lead_in(start(bounds));
-    let found = bfs::bfs(&begin, successors, |node| node.world.truth.wrong.is_some());
+    let begin = take_first_cell(start(bounds));
+    let found = bfs::bfs(&begin, successors, |node| {
+        node.world.truth.violation.is_some()
+    });
     println!("{} states in {:.1?}", states.get(), begun.elapsed());
-    found.map(|path| story(&path))
+    found.map(|path| trace(&path))
 }
 
-/// The first owner takes the cell and meets both agents, before the search branches out.
-fn lead_in(start: Node) -> Node {
+/// Lets the first owner take the cell and link to the agents, so that the search starts from there.
+fn take_first_cell(start: Node) -> Node {
     let first = [
         "entry 1 takes the cell",
         "entry 1 reads the members",
@@ -94,29 +97,33 @@
     node
 }
 
-fn story(path: &[Node]) -> String {
-    let mut story = String::new();
+/// Lists the events of a path, and how its last state breaks a promise.
+fn trace(path: &[Node]) -> String {
+    let mut trace = String::new();
     for (number, node) in path.iter().enumerate().skip(1) {
-        story += &format!("{number:3}. {}\n", node.world.step);
+        trace += &format!("{number:3}. {}\n", node.world.step);
     }
     let last = path.last().expect("a path has an end");
-    let wrong = last.world.truth.wrong.as_deref();
-    story + &format!("     => {}\n", wrong.unwrap_or("nothing is wrong"))
+    let wrong = last.world.truth.violation.as_deref();
+    trace + &format!("     => {}\n", wrong.unwrap_or("nothing is wrong"))
 }
 
-fn holds(bounds: Bounds) {
-    if let Some(story) = search(bounds) {
-        panic!("a promise is broken:\n{story}");
+/// Checks that no trace within the bounds breaks a promise.
+fn assert_holds(bounds: Bounds) {
+    if let Some(trace) = search(bounds) {
+        panic!("a promise is broken:\n{trace}");
     }
 }
 
-fn breaks(mutation: Mutation, bounds: Bounds) {
-    let story = search(Bounds { mutation, ..bounds });
-    println!("{}", story.expect("the mutation must be found"));
+/// Checks that a trace within the bounds breaks a promise once the mutation is applied.
+fn assert_found(mutation: Mutation, bounds: Bounds) {
+    let trace = search(Bounds { mutation, ..bounds });
+    println!("{}", trace.expect("the mutation must be found"));
 }
 
-/// One task, one takeover from a living owner, one agent that loses its memory.
-fn small() -> Bounds {
+/// One task, one takeover from an owner that may be alive, and one agent that restarts without its
+/// records.
+fn small_bounds() -> Bounds {
     Bounds {
         tasks: 1,
         submissions: 2,
@@ -131,113 +138,114 @@
 
 #[test]
 fn aged_key_crash() {
-    holds(Bounds {
-        kill: true,
-        ..small()
+    assert_holds(Bounds {
+        kill_previous_owner: true,
+        ..small_bounds()
     });
 }
 
 #[test]
 fn plain_key_crash() {
-    holds(Bounds {
+    assert_holds(Bounds {
         minted: None,
-        kill: true,
-        ..small()
+        kill_previous_owner: true,
+        ..small_bounds()
     });
 }
 
 #[test]
 fn aged_key_pause() {
-    holds(Bounds {
+    assert_holds(Bounds {
         agent_deaths: 0,
         duplicates: 1,
-        ..small()
+        ..small_bounds()
     });
 }
 
 #[test]
 fn plain_key_pause() {
-    holds(Bounds {
+    assert_holds(Bounds {
         agent_deaths: 0,
         duplicates: 1,
         minted: None,
-        ..small()
+        ..small_bounds()
     });
 }
 
-/// Two tasks, so that one may run where the other doesn't.
+/// Two tasks, so that one may run on an agent and the other not.
 #[test]
 fn two_tasks_crash() {
-    holds(Bounds {
+    assert_holds(Bounds {
         tasks: 2,
-        kill: true,
-        ..small()
+        kill_previous_owner: true,
+        ..small_bounds()
     });
 }
 
-/// The owner writes its claim but never hears of it, or gives up waiting for it.
+/// The owner's claim is written but the answer is lost, or the owner gives up waiting for it.
 #[test]
 fn claim_answers_lost() {
-    holds(Bounds {
+    assert_holds(Bounds {
         minted: None,
         agent_deaths: 0,
         lost_answers: 1,
         refusals: 1,
         submissions: 3,
-        ..small()
+        ..small_bounds()
     });
 }
 
-/// Links break while both ends live, and what was sent on them arrives late.
+/// Links break while both ends are alive, and messages that were sent on them arrive late.
 #[test]
 fn links_lost() {
-    holds(Bounds {
+    assert_holds(Bounds {
         takeovers: 1,
         agent_deaths: 0,
         link_losses: 1,
         tasks: 2,
         submissions: 1,
         duplicates: 1,
-        ..small()
+        ..small_bounds()
     });
 }
 
-/// The caller cancels, here or there.
+/// The caller cancels the job at either entry.
 #[test]
 fn cancelled() {
-    holds(Bounds {
+    assert_holds(Bounds {
         agent_deaths: 0,
         cancels: 1,
-        ..small()
+        ..small_bounds()
     });
 }
 
-/// The caller's clock is far ahead, so that its key claims to be younger than the takeover.
+/// The caller's clock is far ahead, so its key seems to be minted after the takeover.
 #[test]
 fn caller_clock_ahead() {
-    holds(Bounds {
+    assert_holds(Bounds {
         minted: Some(1_000),
-        kill: true,
-        ..small()
+        kill_previous_owner: true,
+        ..small_bounds()
     });
 }
 
-/// An agent restarts long before the takeover, while the owner can't write its claims.
+/// An agent restarts long before the takeover, at a time when the owner can't write its claims.
 #[test]
 fn agent_lost_long_before_takeover() {
-    holds(Bounds {
+    assert_holds(Bounds {
         seconds: 10,
         stride: 10,
-        kill: true,
-        lost_early: true,
-        ..small()
+        kill_previous_owner: true,
+        agents_die_early: true,
+        ..small_bounds()
     });
 }
 
-/// The new owner can't reach an agent that the old one, whose clock stood still, still uses.
+/// The new owner can't reach an agent that the previous owner, whose clock stopped for a while,
+/// still uses.
 #[test]
 fn frozen_owner_behind_a_partition() {
-    holds(Bounds {
+    assert_holds(Bounds {
         agent_deaths: 0,
         cut_off: Some((1, 1)),
         seconds: 10,
@@ -246,53 +254,56 @@
         submissions: 2,
         minted: Some(10),
         entry_skew: [500, 0],
-        ..small()
+        ..small_bounds()
     });
 }
 
-/// Without the fence a paused owner goes on starting tasks after its successor has looked.
+/// Without the fence a paused owner goes on starting tasks after the new owner has read the
+/// reports.
 #[test]
 fn finds_a_removed_fence() {
     let bounds = Bounds {
         agent_deaths: 0,
-        ..small()
+        ..small_bounds()
     };
-    breaks(Mutation::FenceRemoved, bounds);
+    assert_found(Mutation::FenceRemoved, bounds);
 }
 
-/// An agent that reads the epoch before it writes its row falls between two owners.
+/// An agent that reads the epoch before it writes its row is missed by a new owner and still
+/// accepts the previous one.
 #[test]
 fn finds_a_reversed_join() {
-    breaks(Mutation::JoinReversed, newcomer());
+    assert_found(Mutation::JoinReversed, newcomer_bounds());
 }
 
-fn newcomer() -> Bounds {
+/// One agent that has joined and one that joins for the first time.
+fn newcomer_bounds() -> Bounds {
     Bounds {
         newcomer: true,
         agent_deaths: 0,
-        ..small()
+        ..small_bounds()
     }
 }
 
-/// An agent joins while the cell changes hands.
+/// An agent joins while the owner of the cell changes.
 #[test]
 fn agent_joins() {
-    holds(newcomer());
+    assert_holds(newcomer_bounds());
 }
 
-/// A start whose answer is slow is sent to another agent.
+/// A start whose answer is slow is also sent to another agent.
 #[test]
 fn finds_a_blind_retry() {
     let bounds = Bounds {
         takeovers: 1,
         agent_deaths: 0,
         submissions: 1,
-        ..small()
+        ..small_bounds()
     };
-    breaks(Mutation::BlindRetry, bounds);
+    assert_found(Mutation::BlindRetry, bounds);
 }
 
-/// An owner of the past writes a claim after its successor has read the claims.
+/// A previous owner writes a claim after the new owner has read the claims.
 #[test]
 fn finds_an_unconditional_claim() {
     let bounds = Bounds {
@@ -301,17 +312,17 @@
         cut_off: Some((1, 1)),
         seconds: 2,
         stride: 2,
-        ..small()
+        ..small_bounds()
     };
-    breaks(Mutation::ClaimUnconditional, bounds);
+    assert_found(Mutation::ClaimUnconditional, bounds);
 }
 
-/// An agent that restarts says nothing of its life before.
+/// An agent that restarts doesn't record its lost incarnation in its row.
 #[test]
-fn finds_ignored_lost_lives() {
+fn finds_ignored_lost_incarnations() {
     let bounds = Bounds {
-        kill: true,
-        ..small()
+        kill_previous_owner: true,
+        ..small_bounds()
     };
-    breaks(Mutation::LostLivesIgnored, bounds);
+    assert_found(Mutation::LostIncarnationsIgnored, bounds);
 }
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen next in a world.
+//! The events that can happen next in a state, and their effects.
 
 use std::sync::Arc;
 use std::time;
@@ -15,32 +15,34 @@
 use lovagemill::task;
 
 use crate::digest;
-use crate::world::{self, Joining, Message, Mutation, Node, Owning, Row, World, AGENTS, ENTRIES};
+use crate::world::{
+    self, Joining, Message, Mutation, Node, Ownership, Row, World, AGENTS, ENTRIES,
+};
 
-/// The worlds that can follow.
+/// Returns the states that can follow, each after one event.
 pub fn all(node: &Node) -> Vec<Node> {
     let world = &node.world;
-    if world.truth.wrong.is_some() {
+    if world.truth.violation.is_some() {
         return Vec::new();
     }
     let mut next = Vec::new();
     let mut add = |step: String, change: &dyn Fn(&mut World) -> bool| {
         let mut after = world.clone();
         if change(&mut after) {
-            tidy(&mut after);
+            normalize(&mut after);
             after.step = step;
             next.push(Node::of(after));
         }
     };
-    add("time passes".into(), &|w| pass(w, None));
+    add("time passes".into(), &|w| pass_time(w, None));
     for e in 0..ENTRIES {
         let name = e + 1;
-        if world.entries[e].owning.is_none() {
-            add(format!("entry {name} takes the cell"), &|w| take(w, e));
+        if world.entries[e].ownership.is_none() {
+            add(format!("entry {name} takes the cell"), &|w| take_cell(w, e));
             continue;
         }
         add(format!("time passes, but entry {name} is frozen"), &|w| {
-            pass(w, Some(e))
+            pass_time(w, Some(e))
         });
         add(format!("the caller submits to entry {name}"), &|w| {
             submit(w, e)
@@ -63,7 +65,9 @@
             refuse_claims(w, e)
         });
         if world.clock > 0 {
-            add(format!("entry {name} beats"), &|w| beat(w, e));
+            add(format!("entry {name} writes a heartbeat"), &|w| {
+                prove_ownership(w, e)
+            });
             add(format!("entry {name} does what is due"), &|w| tick(w, e));
         }
         if world.bounds.mutation == Mutation::BlindRetry {
@@ -92,13 +96,13 @@
         }
         for index in &world.agents[a].running {
             add(format!("task {index} ends on agent {a}"), &|w| {
-                finish(w, a, *index)
+                finish_task(w, a, *index)
             });
         }
     }
-    for message in &world.wire {
+    for message in &world.messages {
         add(format!("arrives: {message:?}"), &|w| {
-            w.wire.remove(message);
+            w.messages.remove(message);
             deliver(w, message)
         });
         if world.used.duplicates < world.bounds.duplicates {
@@ -111,17 +115,23 @@
     next
 }
 
-/// Sends the hellos that are due, and takes messages away that nobody would heed any more.
-fn tidy(w: &mut World) {
+/// Sends the hellos that are due, and removes messages that no receiver would act on, so that equal
+/// states are recognized as equal.
+fn normalize(w: &mut World) {
     for e in 0..ENTRIES {
         for a in 0..AGENTS {
-            link(w, e, a);
+            send_hello(w, e, a);
         }
     }
     let fence = w.bounds.mutation != Mutation::FenceRemoved;
     let (agents, entries) = (&w.agents, &w.entries);
-    let owned = |entry: usize| entries[entry].owning.as_ref().map(|owning| owning.epoch);
-    let heeded = |message: &Message| match message {
+    let owned = |entry: usize| {
+        entries[entry]
+            .ownership
+            .as_ref()
+            .map(|ownership| ownership.epoch)
+    };
+    let has_effect = |message: &Message| match message {
         Message::Hello {
             entry,
             epoch,
@@ -131,77 +141,89 @@
             !stale && owned(*entry) == Some(*epoch)
         }
         Message::Down {
-            epoch, agent, life, ..
+            epoch,
+            agent,
+            incarnation,
+            ..
         } => {
             let agent = &agents[*agent];
             let stale = fence && *epoch < agent.ledger.get().epoch();
-            !stale && *life >= agent.life
+            !stale && *incarnation >= agent.incarnation
         }
         Message::Up { entry, epoch, .. } => owned(*entry) == Some(*epoch),
     };
-    if !w.wire.iter().all(|message| heeded(message)) {
-        w.wire.retain(|message| heeded(message));
+    if !w.messages.iter().all(|message| has_effect(message)) {
+        w.messages.retain(|message| has_effect(message));
     }
 }
 
-fn pass(w: &mut World, frozen: Option<usize>) -> bool {
+/// Advances the clock by one step, without the monotonic clock of the entry in `frozen`.
+fn pass_time(w: &mut World, frozen: Option<usize>) -> bool {
     let stride = w.bounds.stride;
     if w.clock + stride > w.bounds.seconds {
         return false;
     }
     w.clock += stride;
     if let Some(e) = frozen {
-        if w.used.frozen >= w.bounds.frozen || w.entries[e].owning.is_none() {
+        if w.used.frozen >= w.bounds.frozen || w.entries[e].ownership.is_none() {
             return false;
         }
         w.used.frozen += 1;
-        w.entries[e].behind += stride;
+        w.entries[e].clock_lag += stride;
     }
     true
 }
 
-/// Feeds an event to an owner and does what it asks.
-fn feed(w: &mut World, e: usize, event: impl FnOnce(&mut owner::Owner, time::Instant)) -> bool {
+/// Lets an entry's owner handle an event and performs its actions. Tells whether the event had an
+/// effect.
+fn handle_event(
+    w: &mut World,
+    e: usize,
+    event: impl FnOnce(&mut owner::Owner, time::Instant),
+) -> bool {
     let now = w.now(e);
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return false;
     };
-    let before = owning.owner.print();
-    let actions = owning.owner.change(|owner| {
+    let before = ownership.owner.digest();
+    let actions = ownership.owner.change(|owner| {
         event(owner, now);
         owner.actions()
     });
-    let changed = owning.owner.print() != before || !actions.is_empty();
+    let changed = ownership.owner.digest() != before || !actions.is_empty();
     for action in actions {
-        perform(w, e, action);
+        perform_action(w, e, action);
     }
     changed
 }
 
-fn perform(w: &mut World, e: usize, action: Action) {
+fn perform_action(w: &mut World, e: usize, action: Action) {
     match action {
         Action::Order(agent, order) => {
             let agent = world::agent_index(&agent);
-            let owning = w.entries[e].owning.as_mut().expect("it acts");
-            if let Some(life) = owning.links[agent] {
-                w.wire.insert(Arc::new(Message::Down {
-                    epoch: owning.epoch,
+            let ownership = w.entries[e].ownership.as_mut().expect("it acts");
+            if let Some(incarnation) = ownership.links[agent] {
+                w.messages.insert(Arc::new(Message::Down {
+                    epoch: ownership.epoch,
                     agent,
-                    life,
+                    incarnation,
                     order: serde_json::to_string(&order).expect("orders have a codec"),
                 }));
             }
         }
         Action::Claim(claim) => {
-            let owning = w.entries[e].owning.as_mut().expect("it acts");
-            owning.pending.change(|pending| pending.push(claim));
+            let ownership = w.entries[e].ownership.as_mut().expect("it acts");
+            ownership
+                .pending_claims
+                .change(|pending_claims| pending_claims.push(claim));
         }
-        Action::Reply(waiter, ending) => reply(w, e, waiter, &ending),
+        Action::Reply(waiter, ending) => check_reply(w, e, waiter, &ending),
         Action::Record(_) => {}
     }
 }
 
-fn reply(w: &mut World, e: usize, waiter: action::Waiter, ending: &submission::Ending) {
+/// Checks an ending that the caller gets against what happened in truth.
+fn check_reply(w: &mut World, e: usize, waiter: action::Waiter, ending: &submission::Ending) {
     match ending {
         submission::Ending::Complete(answers) => {
             let right = |(index, answer): (usize, &serde_json::value::RawValue)| {
@@ -209,20 +231,20 @@
             };
             let all = answers.len() == w.bounds.tasks as usize;
             if !all || !answers.iter().map(Box::as_ref).enumerate().all(right) {
-                w.wrong("a partial or foreign answer reached the caller");
+                w.report_violation("a partial or foreign answer reached the caller");
             }
         }
         submission::Ending::Failed(refusal) => {
-            let epoch = w.entries[e].owning.as_ref().map_or(0, |o| o.epoch);
+            let epoch = w.entries[e].ownership.as_ref().map_or(0, |o| o.epoch);
             let newest = waiter == u64::from(w.used.submissions);
-            // What an owner of the past says is bounded in docs/design/claims.md.
+            // docs/design/claims.md states what a previous owner may still answer.
             if !refusal.not_run || !newest || epoch < w.table.epoch {
                 return;
             }
-            w.truth.denied = true;
+            w.truth.answered_not_run = true;
             if w.truth.started.values().any(|n| *n > 0) {
-                w.wrong(format!(
-                    "\"not run\" ({}) was said of what had run",
+                w.report_violation(format!(
+                    "the caller got \"not run\" ({}) for a job whose task had started",
                     refusal.code
                 ));
             }
@@ -235,10 +257,10 @@
         return false;
     }
     w.used.submissions += 1;
-    w.truth.denied = false;
+    w.truth.answered_not_run = false;
     let submission = world::submission(&w.bounds);
     let waiter = u64::from(w.used.submissions);
-    feed(w, e, |owner, now| owner.submit(now, submission, waiter))
+    handle_event(w, e, |owner, now| owner.submit(now, submission, waiter))
 }
 
 fn cancel(w: &mut World, e: usize) -> bool {
@@ -246,73 +268,78 @@
         return false;
     }
     w.used.cancels += 1;
-    // The answer of the cancellation itself tells nothing about the job.
-    feed(w, e, |owner, now| owner.cancel(now, &world::key(), 99))
+    // The answer to the cancellation itself isn't checked: it says nothing about the job.
+    handle_event(w, e, |owner, now| owner.cancel(now, &world::key(), 99))
 }
 
 fn entry_dies(w: &mut World, e: usize) -> bool {
-    if w.used.entry_deaths >= w.bounds.entry_deaths || w.entries[e].owning.is_none() {
+    if w.used.entry_deaths >= w.bounds.entry_deaths || w.entries[e].ownership.is_none() {
         return false;
     }
     w.used.entry_deaths += 1;
-    stop(w, e);
+    end_owner(w, e);
     true
 }
 
-/// An owner ends.
-fn stop(w: &mut World, e: usize) {
-    w.entries[e].owning = None;
-    w.entries[e].behind = 0;
+/// Ends an entry's owner.
+fn end_owner(w: &mut World, e: usize) {
+    w.entries[e].ownership = None;
+    w.entries[e].clock_lag = 0;
 }
 
-fn take(w: &mut World, e: usize) -> bool {
-    let early = w.bounds.lost_early && w.clock == 0 && w.table.epoch > 0;
+fn take_cell(w: &mut World, e: usize) -> bool {
+    let early = w.bounds.agents_die_early && w.clock == 0 && w.table.epoch > 0;
     if early {
         return false;
     }
     let limit = w.used.takeovers >= w.bounds.takeovers;
     if limit
-        || w.entries[e].owning.is_some()
+        || w.entries[e].ownership.is_some()
         || w.table.owner == Some(e) && w.used.entry_deaths == 0
     {
         return false;
     }
     w.used.takeovers += 1;
-    if w.bounds.kill {
-        w.entries[1 - e].owning = None;
+    if w.bounds.kill_previous_owner {
+        w.entries[1 - e].ownership = None;
     }
     w.table.owner = Some(e);
     w.table.epoch += 1;
     let epoch = w.table.epoch;
     let (now, wall) = (w.now(e), w.entry_wall(e));
     let owner = owner::Owner::open(epoch, world::policy(), world::config(), now, wall);
-    w.entries[e].owning = Some(Owning {
+    w.entries[e].ownership = Some(Ownership {
         epoch,
-        owner: digest::Part::open(owner),
-        members: false,
-        pending: digest::Part::default(),
+        owner: digest::Digested::open(owner),
+        members_read: false,
+        pending_claims: digest::Digested::default(),
         links: [None; AGENTS],
-        greeted: [None; AGENTS],
-        blind: false,
+        hello_sent: [None; AGENTS],
+        retried: false,
     });
-    // The claims may be read at any later time: no write of an owner before succeeds any more.
+    // Reading the claims later would make no difference: writes of previous owners fail from now
+    // on.
     let claims = w.table.claims.get().clone();
-    feed(w, e, |owner, now| owner.set_earlier_claims(now, claims));
+    handle_event(w, e, |owner, now| owner.set_earlier_claims(now, claims));
     true
 }
 
 fn read_members(w: &mut World, e: usize) -> bool {
     let rows = w.table.rows.clone();
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return false;
     };
-    if std::mem::replace(&mut owning.members, true) {
+    if std::mem::replace(&mut ownership.members_read, true) {
         return false;
     }
-    let present = || rows.iter().enumerate().filter(|(_, row)| row.life > 0);
-    let life = |(a, row): (usize, &Row)| inherit::Life {
+    let present = || {
+        rows.iter()
+            .enumerate()
+            .filter(|(_, row)| row.incarnation > 0)
+    };
+    let current = |(a, row): (usize, &Row)| inherit::Life {
         agent: world::agent_id(a),
-        incarnation: row.life,
+        incarnation: row.incarnation,
     };
     let lost = |(_, row): (usize, &Row)| row.lost.clone();
     let lost: Vec<_> = present()
@@ -323,27 +350,27 @@
             claimed: false,
         })
         .collect();
-    let lives: Vec<_> = present().map(life).collect();
-    feed(w, e, |owner, now| owner.set_members(now, lives, &lost));
+    let lives: Vec<_> = present().map(current).collect();
+    handle_event(w, e, |owner, now| owner.set_members(now, lives, &lost));
     true
 }
 
 fn write_claims(w: &mut World, e: usize, answer_lost: bool) -> bool {
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return false;
     };
-    if owning.pending.get().is_empty()
+    if ownership.pending_claims.get().is_empty()
         || answer_lost && w.used.lost_answers >= w.bounds.lost_answers
     {
         return false;
     }
     let conditional = w.bounds.mutation != Mutation::ClaimUnconditional;
-    if conditional && w.table.epoch != owning.epoch {
-        stop(w, e);
+    if conditional && w.table.epoch != ownership.epoch {
+        end_owner(w, e);
         return true;
     }
-    let claims: Vec<_> = owning
-        .pending
+    let claims: Vec<_> = ownership
+        .pending_claims
         .get()
         .iter()
         .map(inherit::Claimed::of)
@@ -356,54 +383,61 @@
         w.used.lost_answers += 1;
         return true;
     }
-    let pending = owning.pending.change(std::mem::take);
-    feed(w, e, |owner, now| owner.claims_written(now, &pending));
+    let pending_claims = ownership.pending_claims.change(std::mem::take);
+    handle_event(w, e, |owner, now| {
+        owner.claims_written(now, &pending_claims)
+    });
     true
 }
 
 fn refuse_claims(w: &mut World, e: usize) -> bool {
-    let Some(owning) = &w.entries[e].owning else {
+    let Some(ownership) = &w.entries[e].ownership else {
         return false;
     };
-    let ahead = owning.pending.get().iter().filter(|claim| claim.ahead);
+    let ahead = ownership
+        .pending_claims
+        .get()
+        .iter()
+        .filter(|claim| claim.ahead);
     let keys: Vec<_> = ahead.map(|claim| claim.key.clone()).collect();
     if keys.is_empty() || w.used.refusals >= w.bounds.refusals {
         return false;
     }
     w.used.refusals += 1;
     let down = code::Code::StoreDown;
-    feed(w, e, |owner, now| owner.claims_refused(now, &keys, down))
+    handle_event(w, e, |owner, now| owner.claims_refused(now, &keys, down))
 }
 
-fn beat(w: &mut World, e: usize) -> bool {
-    let Some(owning) = &w.entries[e].owning else {
+/// A heartbeat: proves the ownership, or shows that it is lost.
+fn prove_ownership(w: &mut World, e: usize) -> bool {
+    let Some(ownership) = &w.entries[e].ownership else {
         return false;
     };
-    if owning.epoch != w.table.epoch {
-        stop(w, e);
+    if ownership.epoch != w.table.epoch {
+        end_owner(w, e);
         return true;
     }
     let begun = w.now(e);
-    feed(w, e, |owner, _| owner.note_ownership_proof(begun))
+    handle_event(w, e, |owner, _| owner.note_ownership_proof(begun))
 }
 
 fn tick(w: &mut World, e: usize) -> bool {
-    feed(w, e, owner::Owner::tick)
+    handle_event(w, e, owner::Owner::tick)
 }
 
-/// A mutation: starts whose answers are slow are sent to the other agent too.
+/// Only by mutation: starts whose answers are slow are sent to the other agent too.
 fn blind_retry(w: &mut World, e: usize) -> bool {
     if w.bounds.mutation != Mutation::BlindRetry {
         return false;
     }
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return false;
     };
-    if std::mem::replace(&mut owning.blind, true) {
+    if std::mem::replace(&mut ownership.retried, true) {
         return false;
     }
     let mut again = Vec::new();
-    for message in &w.wire {
+    for message in &w.messages {
         let Message::Down {
             epoch,
             agent,
@@ -414,72 +448,72 @@
             continue;
         };
         let other = 1 - agent;
-        let linked = owning.links[other].filter(|_| *epoch == owning.epoch);
-        if let (Some(life), true) = (linked, order.contains("start")) {
+        let linked = ownership.links[other].filter(|_| *epoch == ownership.epoch);
+        if let (Some(incarnation), true) = (linked, order.contains("start")) {
             again.push(Arc::new(Message::Down {
                 epoch: *epoch,
                 agent: other,
-                life,
+                incarnation,
                 order: order.clone(),
             }));
         }
     }
-    w.wire.extend(again);
+    w.messages.extend(again);
     true
 }
 
-/// Sends every hello that can be sent; it may arrive at any later time.
-fn link(w: &mut World, e: usize, a: usize) {
-    let life = w.table.rows[a].life;
+/// Sends a hello to an agent's incarnation if none was sent yet; it may arrive at any later time.
+fn send_hello(w: &mut World, e: usize, a: usize) {
+    let incarnation = w.table.rows[a].incarnation;
     if w.bounds.cut_off == Some((e, a)) {
         return;
     }
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return;
     };
-    if !owning.members || life == 0 || owning.greeted[a] == Some(life) {
+    if !ownership.members_read || incarnation == 0 || ownership.hello_sent[a] == Some(incarnation) {
         return;
     }
-    owning.greeted[a] = Some(life);
-    w.wire.insert(Arc::new(Message::Hello {
+    ownership.hello_sent[a] = Some(incarnation);
+    w.messages.insert(Arc::new(Message::Hello {
         entry: e,
-        epoch: owning.epoch,
+        epoch: ownership.epoch,
         agent: a,
     }));
 }
 
 fn lose_link(w: &mut World, e: usize, a: usize) -> bool {
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return false;
     };
-    if w.used.link_losses >= w.bounds.link_losses || owning.links[a].is_none() {
+    if w.used.link_losses >= w.bounds.link_losses || ownership.links[a].is_none() {
         return false;
     }
     w.used.link_losses += 1;
-    owning.links[a] = None;
-    owning.greeted[a] = None;
-    feed(w, e, |owner, now| {
+    ownership.links[a] = None;
+    ownership.hello_sent[a] = None;
+    handle_event(w, e, |owner, now| {
         owner.agent_link_lost(now, &world::agent_id(a))
     })
 }
 
 fn agent_dies(w: &mut World, a: usize) -> bool {
-    let late = w.bounds.lost_early && w.clock > 0;
+    let late = w.bounds.agents_die_early && w.clock > 0;
     if late || w.used.agent_deaths >= w.bounds.agent_deaths {
         return false;
     }
     w.used.agent_deaths += 1;
     let agent = &mut w.agents[a];
-    agent.ledger = digest::Part::open(ledger::Ledger::default());
-    agent.life += 1;
+    agent.ledger = digest::Digested::open(ledger::Ledger::default());
+    agent.incarnation += 1;
     agent.joining = Joining::Nothing;
     agent.owner = None;
-    agent.greeted = 0;
+    agent.newest_hello = 0;
     agent.running.clear();
     true
 }
 
-/// The order of agent/join.rs: the row first, the epoch after.
+/// Joins in the order of agent/join.rs: writes the row first and reads the epoch after.
 fn join_first(w: &mut World, a: usize) -> bool {
     if w.agents[a].joining != Joining::Nothing {
         return false;
@@ -504,20 +538,20 @@
     };
     w.agents[a].ledger.change(|ledger| ledger.join(epoch));
     w.agents[a].joining = Joining::Joined;
-    tell(w, a, &notice::Notice::Heartbeat);
+    send_notice(w, a, &notice::Notice::Heartbeat);
     true
 }
 
 fn write_row(w: &mut World, a: usize) {
     let at_ms = w.agent_wall(a).as_millis() as u64;
     let row = &mut w.table.rows[a];
-    if row.life > 0 && w.bounds.mutation != Mutation::LostLivesIgnored {
-        row.lost.push((row.life, at_ms));
+    if row.incarnation > 0 && w.bounds.mutation != Mutation::LostIncarnationsIgnored {
+        row.lost.push((row.incarnation, at_ms));
     }
-    row.life = w.agents[a].life;
+    row.incarnation = w.agents[a].incarnation;
 }
 
-fn finish(w: &mut World, a: usize, index: id::TaskIndex) -> bool {
+fn finish_task(w: &mut World, a: usize, index: id::TaskIndex) -> bool {
     let now = w.true_now();
     let agent = &mut w.agents[a];
     if !agent.running.remove(&index) {
@@ -537,17 +571,18 @@
         outcome,
         ran_us: 100_000,
     };
-    tell(w, a, &notice::Notice::Answer(answer));
+    send_notice(w, a, &notice::Notice::Answer(answer));
     true
 }
 
-fn tell(w: &mut World, a: usize, notice: &notice::Notice) {
+/// Sends a notice to the agent's owner, if that is still there.
+fn send_notice(w: &mut World, a: usize, notice: &notice::Notice) {
     let Some((entry, epoch)) = w.agents[a].owner else {
         return;
     };
-    let alive = w.entries[entry].owning.as_ref();
-    if alive.is_some_and(|owning| owning.epoch == epoch) {
-        w.wire.insert(Arc::new(Message::Up {
+    let alive = w.entries[entry].ownership.as_ref();
+    if alive.is_some_and(|ownership| ownership.epoch == epoch) {
+        w.messages.insert(Arc::new(Message::Up {
             entry,
             epoch,
             agent: a,
@@ -563,15 +598,15 @@
             entry,
             epoch,
             agent,
-        } => greet(w, *entry, *epoch, *agent),
+        } => receive_hello(w, *entry, *epoch, *agent),
         Message::Down {
             epoch,
             agent,
-            life,
+            incarnation,
             order,
         } => {
             let order = serde_json::from_str(order).expect("orders have a codec");
-            obey(w, *agent, *epoch, *life, order)
+            receive_order(w, *agent, *epoch, *incarnation, order)
         }
         Message::Up {
             entry,
@@ -581,42 +616,42 @@
             notice,
         } => {
             let notice = serde_json::from_str(notice).expect("notices have a codec");
-            hear(w, *entry, *epoch, *agent, *slots, notice)
+            receive_notice(w, *entry, *epoch, *agent, *slots, notice)
         }
     }
 }
 
-/// What agent/work.rs does with a hello.
-fn greet(w: &mut World, entry: usize, epoch: id::Epoch, a: usize) -> bool {
+/// Handles a hello as agent/work.rs does.
+fn receive_hello(w: &mut World, entry: usize, epoch: id::Epoch, a: usize) -> bool {
     let fence = w.bounds.mutation != Mutation::FenceRemoved;
     let agent = &mut w.agents[a];
     if fence && agent.ledger.change(|ledger| ledger.fence(epoch)).is_err() {
         return true;
     }
-    agent.greeted = agent.greeted.max(epoch);
+    agent.newest_hello = agent.newest_hello.max(epoch);
     agent.owner = Some((entry, epoch));
     let welcome = notice::Welcome {
-        incarnation: agent.life,
+        incarnation: agent.incarnation,
         failure_domain: "".into(),
         rack: "".into(),
         tasks: agent.ledger.get().report(),
     };
-    tell(w, a, &notice::Notice::Welcome(welcome));
+    send_notice(w, a, &notice::Notice::Welcome(welcome));
     true
 }
 
-/// What agent/work.rs does with an order.
-fn obey(
+/// Handles an order as agent/work.rs does.
+fn receive_order(
     w: &mut World,
     a: usize,
     epoch: id::Epoch,
-    life: id::Incarnation,
+    incarnation: id::Incarnation,
     order: order::Order,
 ) -> bool {
     let now = w.true_now();
     let fence = w.bounds.mutation != Mutation::FenceRemoved;
     let agent = &mut w.agents[a];
-    if life != agent.life || fence && epoch < agent.ledger.get().epoch() {
+    if incarnation != agent.incarnation || fence && epoch < agent.ledger.get().epoch() {
         return true;
     }
     match order {
@@ -625,10 +660,10 @@
                 .ledger
                 .change(|ledger| ledger.start(now, epoch, &start.id, start.attempt));
             match verdict {
-                ledger::Verdict::Run => run(w, a, epoch, start.id.index),
+                ledger::Verdict::Run => start_task(w, a, epoch, start.id.index),
                 ledger::Verdict::Duplicate => {}
                 ledger::Verdict::Refuse(code) => {
-                    tell(w, a, &notice::Notice::Refused(start.attempt(), code));
+                    send_notice(w, a, &notice::Notice::Refused(start.attempt(), code));
                 }
             }
         }
@@ -651,18 +686,19 @@
     true
 }
 
-fn run(w: &mut World, a: usize, epoch: id::Epoch, index: id::TaskIndex) {
-    if epoch < w.agents[a].greeted {
-        w.wrong("an owner of the past started a task");
+/// Starts a task on an agent's backend server and checks that it may.
+fn start_task(w: &mut World, a: usize, epoch: id::Epoch, index: id::TaskIndex) {
+    if epoch < w.agents[a].newest_hello {
+        w.report_violation("a previous owner started a task");
     }
-    if w.truth.denied {
-        w.wrong("a task started after \"not run\" was said of its job");
+    if w.truth.answered_not_run {
+        w.report_violation("a task started after its job was answered with \"not run\"");
     }
     w.agents[a].running.insert(index);
     let times = w.truth.started.entry(index).or_default();
     *times += 1;
     if *times > 1 {
-        w.wrong(format!("task {index} started twice"));
+        w.report_violation(format!("task {index} started twice"));
     }
 }
 
@@ -681,7 +717,7 @@
         outcome,
         ran_us: 0,
     };
-    tell(w, a, &notice::Notice::Answer(answer));
+    send_notice(w, a, &notice::Notice::Answer(answer));
 }
 
 fn resolve(w: &mut World, a: usize, epoch: id::Epoch, asked: &[order::Attempt]) {
@@ -697,12 +733,12 @@
             }),
             None => notice::Notice::Standing(asked, standing),
         };
-        tell(w, a, &notice);
+        send_notice(w, a, &notice);
     }
 }
 
-/// What entry/cell.rs does with a notice.
-fn hear(
+/// Handles a notice as entry/cell.rs does.
+fn receive_notice(
     w: &mut World,
     e: usize,
     epoch: id::Epoch,
@@ -710,10 +746,10 @@
     slots: u32,
     notice: notice::Notice,
 ) -> bool {
-    let Some(owning) = &mut w.entries[e].owning else {
+    let Some(ownership) = &mut w.entries[e].ownership else {
         return true;
     };
-    if owning.epoch != epoch {
+    if ownership.epoch != epoch {
         return true;
     }
     let id = world::agent_id(a);
@@ -723,13 +759,13 @@
     };
     match notice {
         notice::Notice::Welcome(welcome) => {
-            owning.links[a] = Some(welcome.incarnation);
-            feed(w, e, |owner, now| {
+            ownership.links[a] = Some(welcome.incarnation);
+            handle_event(w, e, |owner, now| {
                 owner.handle_welcome(now, &id, welcome, load)
             });
         }
         notice => {
-            feed(w, e, |owner, now| {
+            handle_event(w, e, |owner, now| {
                 owner.handle_notice(now, &id, notice);
                 owner.update_load(now, &id, load);
             });
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -1,5 +1,5 @@
-//! The world that is explored: the table, two entries, two agents, one caller, and all messages
-//! that were ever sent and may arrive at any later time or never.
+//! The states that are explored. A world is the table, two entries, two agents, one caller, and all
+//! messages that were sent and may arrive at any later time or never.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{self, Hash};
@@ -21,63 +21,69 @@
 pub const ENTRIES: usize = 2;
 pub const AGENTS: usize = 2;
 
-/// Wall clock at the model's zero, since the Unix epoch.
+/// Wall clock time, since the Unix epoch, at which the model's clock is zero.
 pub const WALL: time::Duration = time::Duration::from_secs(1_000_000);
 
-/// What is explored, and how far.
+/// The case that is explored, and how often each event may happen in a trace at most.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
+    /// Tasks of the job.
     pub tasks: u32,
     pub submissions: u8,
     pub takeovers: u8,
-    /// Whether an owner dies where another entry takes its cell; it is only paused otherwise.
-    pub kill: bool,
+    /// Whether an owner dies when the other entry takes its cell; otherwise it is only paused.
+    pub kill_previous_owner: bool,
     pub entry_deaths: u8,
     pub agent_deaths: u8,
+    /// Messages that arrive a second time.
     pub duplicates: u8,
+    /// Claim writes whose answer is lost.
     pub lost_answers: u8,
     pub link_losses: u8,
+    /// Times that an owner gives up waiting for claims.
     pub refusals: u8,
     pub cancels: u8,
-    /// Seconds that pass at most, and how many at a time.
+    /// Seconds that pass at most, and how many pass in one step.
     pub seconds: u64,
     pub stride: u64,
-    /// Times that an entry's clock may stand still while others pass on.
+    /// Steps of time in which an entry's monotonic clock may stop while the other clocks go on.
     pub frozen: u8,
     /// Milliseconds by which the wall clocks of the entries and of the agents are ahead.
     pub entry_skew: [u64; ENTRIES],
     pub agent_skew: [u64; AGENTS],
-    /// Seconds after zero at which the caller says it minted its key; none for a plain key.
+    /// The time in the key at which it was minted, in seconds of the model's clock; none for a
+    /// plain key.
     pub minted: Option<u64>,
     pub idempotent: bool,
-    /// Links that can't be made, as (entry, agent).
+    /// A pair of entry and agent that can't link.
     pub cut_off: Option<(usize, usize)>,
-    /// Whether agents die only before time has passed.
-    pub lost_early: bool,
+    /// Whether agents die only before the first step of time.
+    pub agents_die_early: bool,
     /// Whether the second agent is new: it has no row yet.
     pub newcomer: bool,
     pub mutation: Mutation,
-    /// Most states that are looked at.
+    /// Most states that are expanded.
     pub states: u64,
 }
 
-/// A fault put into the protocol, to prove that the checker finds it.
+/// A fault in the protocol that the checker has to find.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mutation {
     #[default]
     None,
-    /// Agents raise no fence.
+    /// Agents don't fence previous owners.
     FenceRemoved,
     /// Agents read the epoch before they write their row.
     JoinReversed,
     /// A start without an answer is sent to another agent.
     BlindRetry,
-    /// Claims are written whoever owns the cell.
+    /// Claims are written even if another entry owns the cell.
     ClaimUnconditional,
-    /// A rejoining agent doesn't tell of its life before.
-    LostLivesIgnored,
+    /// An agent that joins again doesn't record its lost incarnation.
+    LostIncarnationsIgnored,
 }
 
+/// A message between an entry and an agent, with orders and notices in their wire format.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Message {
     Hello {
@@ -88,7 +94,7 @@
     Down {
         epoch: id::Epoch,
         agent: usize,
-        life: id::Incarnation,
+        incarnation: id::Incarnation,
         order: String,
     },
     Up {
@@ -100,39 +106,45 @@
     },
 }
 
+/// An agent's row: its incarnation (0 before it first joined), and its lost incarnations with the
+/// time of each record in milliseconds since the Unix epoch.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Row {
-    pub life: id::Incarnation,
+    pub incarnation: id::Incarnation,
     pub lost: Vec<(id::Incarnation, u64)>,
 }
 
+/// The table's rows for the cell.
 #[derive(Clone, Debug, Default, Hash)]
 pub struct Table {
     pub owner: Option<usize>,
     pub epoch: id::Epoch,
     pub rows: [Row; AGENTS],
-    pub claims: digest::Part<Vec<inherit::Claimed>>,
+    pub claims: digest::Digested<Vec<inherit::Claimed>>,
 }
 
+/// An entry's owner of the cell, which may not know yet that another entry has taken it.
 #[derive(Clone, Debug, Hash)]
-pub struct Owning {
+pub struct Ownership {
     pub epoch: id::Epoch,
-    pub owner: digest::Part<owner::Owner>,
-    pub members: bool,
-    pub pending: digest::Part<Vec<action::Claim>>,
-    /// The life that the link of each agent belongs to, and to which a hello is under way.
+    pub owner: digest::Digested<owner::Owner>,
+    pub members_read: bool,
+    pub pending_claims: digest::Digested<Vec<action::Claim>>,
+    /// By agent: the incarnation that the link belongs to, and the one that a hello was sent to.
     pub links: [Option<id::Incarnation>; AGENTS],
-    pub greeted: [Option<id::Incarnation>; AGENTS],
-    pub blind: bool,
+    pub hello_sent: [Option<id::Incarnation>; AGENTS],
+    /// Whether starts were repeated on the other agent (only by mutation).
+    pub retried: bool,
 }
 
 #[derive(Clone, Debug, Default, Hash)]
 pub struct Entry {
-    pub owning: Option<Owning>,
-    /// Seconds by which its monotonic clock is behind.
-    pub behind: u64,
+    pub ownership: Option<Ownership>,
+    /// Seconds for which its monotonic clock has stopped in all.
+    pub clock_lag: u64,
 }
 
+/// How far an agent has come with joining the cell.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Joining {
     Nothing,
@@ -144,22 +156,24 @@
 
 #[derive(Clone, Debug, Hash)]
 pub struct Agent {
-    pub ledger: digest::Part<ledger::Ledger>,
-    pub life: id::Incarnation,
+    pub ledger: digest::Digested<ledger::Ledger>,
+    pub incarnation: id::Incarnation,
     pub joining: Joining,
     pub owner: Option<(usize, id::Epoch)>,
-    /// Newest epoch that greeted this life, kept apart from the ledger.
-    pub greeted: id::Epoch,
+    /// Newest epoch of a hello to this incarnation; kept apart from the ledger, to check its fence.
+    pub newest_hello: id::Epoch,
     pub running: BTreeSet<u32>,
 }
 
-/// What really happened, seen at the backend servers and at the caller.
+/// What happened in truth, as seen at the backend servers and at the caller.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Truth {
+    /// How often each task was started.
     pub started: BTreeMap<u32, u8>,
-    /// The last submission was answered "not run".
-    pub denied: bool,
-    pub wrong: Option<String>,
+    /// Whether the last submission was answered with "not run".
+    pub answered_not_run: bool,
+    /// The promise that was broken, if one was.
+    pub violation: Option<String>,
 }
 
 #[derive(Clone, Debug)]
@@ -170,13 +184,13 @@
     pub table: Table,
     pub entries: [Entry; ENTRIES],
     pub agents: [Agent; AGENTS],
-    pub wire: BTreeSet<Arc<Message>>,
+    pub messages: BTreeSet<Arc<Message>>,
     pub truth: Truth,
-    /// What led here; no part of the state.
+    /// The event that led here; no part of the state's identity.
     pub step: String,
 }
 
-/// How much of the bounds is used up.
+/// How often each bounded event has happened so far.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Used {
     pub submissions: u8,
@@ -195,15 +209,22 @@
     /// A digest that serves as the state's identity.
     pub fn digest(&self) -> u128 {
         let mut hasher = xxh3::Xxh3::new();
-        let rest = (&self.used, self.clock, &self.truth, &self.wire, &self.table);
+        let rest = (
+            &self.used,
+            self.clock,
+            &self.truth,
+            &self.messages,
+            &self.table,
+        );
         rest.hash(&mut hasher);
         self.agents.hash(&mut hasher);
         self.entries.hash(&mut hasher);
         hasher.digest128()
     }
 
+    /// The entry's monotonic clock.
     pub fn now(&self, entry: usize) -> time::Instant {
-        base() + time::Duration::from_secs(self.clock - self.entries[entry].behind)
+        base() + time::Duration::from_secs(self.clock - self.entries[entry].clock_lag)
     }
 
     pub fn entry_wall(&self, entry: usize) -> time::Duration {
@@ -214,13 +235,14 @@
         WALL + time::Duration::from_millis(1_000 * self.clock + self.bounds.agent_skew[agent])
     }
 
-    /// Time at the agents.
+    /// The agents' monotonic clock.
     pub fn true_now(&self) -> time::Instant {
         base() + time::Duration::from_secs(self.clock)
     }
 
-    pub fn wrong(&mut self, what: impl Into<String>) {
-        self.truth.wrong.get_or_insert(what.into());
+    /// Records how a promise was broken; the first record stays.
+    pub fn report_violation(&mut self, what: impl Into<String>) {
+        self.truth.violation.get_or_insert(what.into());
     }
 }
 
@@ -257,6 +279,7 @@
     *BASE.get_or_init(time::Instant::now)
 }
 
+/// The agents' ids are `a` and `b`.
 pub fn agent_id(agent: usize) -> id::AgentId {
     ["a", "b"][agent].into()
 }
