--- a/tests/contract_budget.rs
+++ b/tests/contract_budget.rs
@@ -1,4 +1,4 @@
-//! What the system asks of a platform that is slow, down, or just back.
+//! How many operations the system sends to a platform that is slow, down, or just back.
 
 mod support;
 
@@ -21,13 +21,17 @@
 }
 
 #[test]
-fn budget_lets_the_saved_up_part_go_at_once_and_the_rest_at_its_rate() {
+fn budget_allows_its_saved_up_operations_at_once_and_the_rest_at_its_rate() {
     let start = time::Instant::now();
     let mut budget = budget::Budget::open(start, 10.0);
     for _ in 0..10 {
         assert_eq!(budget.book(start, ms(0)), Some(ms(0)));
     }
-    assert_eq!(budget.book(start, ms(50)), None, "longer than the patience");
+    assert_eq!(
+        budget.book(start, ms(50)),
+        None,
+        "a wait of 100 ms is over the limit of 50 ms"
+    );
     assert_eq!(budget.book(start, ms(100)), Some(ms(100)));
     assert_eq!(budget.book(start, ms(500)), Some(ms(200)));
     let later = start + ms(1_000);
@@ -35,7 +39,7 @@
 }
 
 #[test]
-fn budget_saves_up_no_more_than_a_second() {
+fn budget_saves_up_operations_of_at_most_one_second() {
     let start = time::Instant::now();
     let mut budget = budget::Budget::open(start, 10.0);
     let later = start + ms(3_600_000);
@@ -55,11 +59,11 @@
     assert!((3_600..=3_661).contains(&left), "{left} operations left");
 }
 
-/// Callers wait while the table is slow, and then the table is stormed by all that waited.
-/// A client that is over its budget keeps operations back; what can't leave within the time limit
-/// isn't sent at all, and is said to be surely not done.
+/// Guards against a burst of operations on a table that was slow: all callers that waited would send at once.
+/// A client that is over its budget delays operations. It doesn't send an operation that can't leave within the time
+/// limit, and reports it as not done.
 #[test]
-fn client_keeps_operations_back_that_are_over_its_budget() {
+fn client_delays_or_refuses_operations_over_its_budget() {
     support::block_on(async {
         let script = Script {
             server: ServerAction::Answer,
@@ -80,12 +84,12 @@
         for _ in 0..5 {
             reads.push(tokio::spawn((platform.table.get)("a".into())));
         }
-        let mut kept_back = 0;
+        let mut refused = 0;
         for read in reads {
-            kept_back += u32::from(read.await.unwrap() == Err(platform::Error::NotDone));
+            refused += u32::from(read.await.unwrap() == Err(platform::Error::NotDone));
         }
-        // Two were saved up, and one comes free within 700 ms.
-        assert_eq!(kept_back, 2);
+        // The budget allows two at once, and one more within 700 ms.
+        assert_eq!(refused, 2);
         assert_eq!(server.requests(), 3);
         assert_eq!(messages.delayed()["read"], 1);
         assert_eq!(messages.refused()["read"], 2);
@@ -93,13 +97,13 @@
     });
 }
 
-/// The table comes back after a minute and goes down again under the load of its clients.
-/// All of them saw it fail in the same moment; without jitter they would ask in step for ever.
+/// Guards against a table that comes back after an outage of a minute and fails again under the load of its clients.
+/// All clients saw it fail at the same moment; without jitter they would go on calling it at the same moments.
 #[test]
-fn clients_ask_out_of_step_after_an_outage() {
+fn clients_retry_at_different_times_after_an_outage() {
     const CLIENTS: u64 = 200;
     let outage = ms(60_000);
-    let mut first_asks = Vec::new();
+    let mut first_calls = Vec::new();
     let mut asked = 0;
     for client in 0..CLIENTS {
         let mut backoff = backoff::seeded(ms(100), ms(1_000), client);
@@ -108,28 +112,28 @@
             asked += 1;
             at += backoff.pause();
         }
-        first_asks.push(at - outage);
+        first_calls.push(at - outage);
     }
-    assert!(asked <= 60 * CLIENTS, "{asked} asked while it was down");
+    assert!(asked <= 60 * CLIENTS, "{asked} calls during the outage");
     let in_window = |from: u64| {
         let window = ms(from)..ms(from + 50);
-        first_asks.iter().filter(|at| window.contains(*at)).count() as u64
+        first_calls.iter().filter(|at| window.contains(*at)).count() as u64
     };
     let fullest = (0..2_000).map(in_window).max().unwrap();
-    assert!(fullest <= CLIENTS / 5, "{fullest} of them within 50 ms");
+    assert!(fullest <= CLIENTS / 5, "{fullest} clients within 50 ms");
 }
 
-/// An entry that lost the table asks it without a pause, together with all others.
-/// Its loops for ownership, configuration, members and claims each retried at their own pace.
+/// Guards against an entry that calls an unavailable table without a pause, as all others do. This happened when the
+/// loops for ownership, configuration, members and claims each retried at their own rate.
 #[test]
-fn entry_asks_a_table_that_is_down_at_a_falling_pace() {
+fn entry_backs_off_from_an_unavailable_table() {
     support::block_on(async {
         let memory = MemoryPlatform::open();
         path::configure(&memory);
         let down: Arc<AtomicBool> = Arc::default();
-        let falling = down.clone();
+        let is_down = down.clone();
         let platform = memory.platform_with_faults(Box::new(move |_| {
-            if falling.load(Ordering::SeqCst) {
+            if is_down.load(Ordering::SeqCst) {
                 Fault::Down
             } else {
                 Fault::None
@@ -145,8 +149,8 @@
         tokio::time::sleep(ms(4_000)).await;
         let (more_reads, more_writes) = memory.operations();
         let asked = more_reads - reads + more_writes - writes;
-        // A slow machine asks less often, never more.
+        // On a slow machine there are fewer operations, never more.
         assert!((1..=40).contains(&asked), "{asked} operations in 4 s");
-        assert!(entry.owns_any(), "an outage deposes nobody");
+        assert!(entry.owns_any(), "an outage takes no ownership away");
     });
 }
--- a/tests/contract_users_platform.rs
+++ b/tests/contract_users_platform.rs
@@ -1,5 +1,5 @@
-//! The platform's store and workers as clients see them: what each answer, and each way of giving
-//! none, is taken for.
+//! How the clients of the platform's store and of backend servers interpret each answer, and each way in which an
+//! answer fails to come.
 
 mod support;
 
@@ -23,8 +23,8 @@
 
 use support::script::{Script, ScriptedServer, ServerAction};
 
-/// Whom the orders of the tests are meant for.
-fn life() -> Recipient {
+/// The recipient of the tests' orders.
+fn recipient() -> Recipient {
     Recipient {
         incarnation: ServerIncarnation::with_id("i-1"),
         fence: 1,
@@ -42,7 +42,7 @@
     }
 }
 
-fn run() -> Run {
+fn test_run() -> Run {
     Run {
         job: "00000000000000aa".into(),
         task: 3,
@@ -62,10 +62,10 @@
     (server, store::open(addr))
 }
 
-/// A start that may have been carried out counts as refused, its task starts elsewhere, and both run.
-/// Only what proves that nothing ran is a refusal.
+/// Guards against a task that runs twice: a start that may have been carried out counts as refused, and the task is
+/// started elsewhere. Only an answer that proves that nothing ran is a refusal.
 #[test]
-fn answers_to_a_start() {
+fn start_answers_tell_whether_the_run_may_have_begun() {
     support::block_on(async {
         let late = r#"{"clock_ms":5,"reason":"late"}"#;
         let fence = r#"{"clock_ms":5,"reason":"fence"}"#;
@@ -111,17 +111,18 @@
         for (script, expected) in cases {
             let shown = format!("{script:?}");
             let (_server, worker) = worker_at(script).await;
-            let answer = (worker.start)(life(), run(), CompactString::from("input"), 99).await;
+            let answer =
+                (worker.start)(recipient(), test_run(), CompactString::from("input"), 99).await;
             assert_eq!(answer, expected, "{shown}");
         }
     });
 }
 
-/// A caller waits 50 ms longer than needed for one task in twenty: its start was lost on the way to a
-/// worker that is well. It is sent once more, and both together are one start: only a success counts,
-/// since the first may still be carried out whatever the second is answered.
+/// Guards against callers that wait 50 ms too long for one task in twenty, because its start was lost on the way to a
+/// healthy backend server. The start is sent once more, and both together are one start. Only a success counts, since
+/// the first may still be carried out after any answer to the second.
 #[test]
-fn a_start_that_is_lost_is_sent_once_more() {
+fn a_lost_start_is_sent_once_more() {
     support::block_on(async {
         for (status, expected) in [(200, StartAnswer::Accepted), (409, StartAnswer::Unknown)] {
             let again = script(
@@ -132,16 +133,17 @@
             let first = script(ServerAction::Hang, 0, "");
             let server = ScriptedServer::bind_sequence(vec![first, again]).await;
             let worker = worker::open(server.addr().parse().expect("an address"));
-            let answer = (worker.start)(life(), run(), CompactString::from("input"), 99).await;
+            let answer =
+                (worker.start)(recipient(), test_run(), CompactString::from("input"), 99).await;
             assert_eq!(answer, expected);
             assert_eq!(server.requests(), 2);
         }
     });
 }
 
-/// A stop is certain only if it was answered with success.
+/// A run is known to be stopped only after the stop was answered with success.
 #[test]
-fn answers_to_a_stop() {
+fn a_stop_is_certain_only_after_success() {
     support::block_on(async {
         let cases = [
             (script(ServerAction::Answer, 200, r#"{"clock_ms":5}"#), true),
@@ -157,26 +159,30 @@
         for (script, expected) in cases {
             let shown = format!("{script:?}");
             let (_server, worker) = worker_at(script).await;
-            assert_eq!((worker.stop)(life(), run()).await, expected, "{shown}");
+            assert_eq!(
+                (worker.stop)(recipient(), test_run()).await,
+                expected,
+                "{shown}"
+            );
         }
     });
 }
 
-/// A listing that can't be read whole would hide runs and ends; it counts as none.
+/// A listing that can't be decoded whole counts as no answer, since it would hide runs and their ends.
 #[test]
-fn answers_to_a_listing() {
+fn a_malformed_listing_counts_as_no_answer() {
     support::block_on(async {
         let good = r#"{"clock_ms":5,"born":1790000000123,"running":[["00000000000000aa.0.0.3",7,"",41,900]],
             "finished":[[4,"00000000000000aa.0.0.1",6,"done",""],[5,"00000000000000aa.0.0.2",6,"lapsed",""]]}"#;
-        let ask = || ListCall {
-            to: life(),
+        let listing_call = || ListCall {
+            to: recipient(),
             lease_until_ms: Some(99),
             acknowledged: 0,
             wait: Duration::ZERO,
         };
         let (_server, worker) = worker_at(script(ServerAction::Answer, 200, good)).await;
-        let listing = (worker.list)(ask()).await.expect("a listing");
-        assert_eq!(listing.running, [(run(), 41)]);
+        let listing = (worker.list)(listing_call()).await.expect("a listing");
+        assert_eq!(listing.running, [(test_run(), 41)]);
         assert_eq!(listing.born_ms, Some(1_790_000_000_123));
         let hows: Vec<RunOutcome> = listing.ended.iter().map(|(_, how)| *how).collect();
         assert_eq!(
@@ -221,17 +227,17 @@
         for (script, expected) in cases {
             let shown = format!("{script:?}");
             let (_server, worker) = worker_at(script).await;
-            let found = (worker.list)(ask()).await.err();
+            let found = (worker.list)(listing_call()).await.err();
             assert_eq!(found, Some(expected), "{shown}");
         }
     });
 }
 
-/// A caller's approval runs twice: an order for the life before is carried out by the next life of a backend
-/// server under the same id. Its token is smaller than that of the first question to the next life; and
-/// that it is refused must not raise the token of the order after it.
+/// Guards against a task that runs twice: an order for an earlier incarnation of a backend server is carried out by the
+/// next incarnation under the same id. Such an order must have a smaller token than the first call to the next
+/// incarnation, and its refusal must not raise the token of later orders.
 #[test]
-fn tokens_rise_with_the_fence_of_a_life() {
+fn tokens_rise_with_the_fence_of_an_incarnation() {
     support::block_on(async {
         let tokens: Arc<Mutex<Vec<u64>>> = Arc::default();
         let seen = tokens.clone();
@@ -246,29 +252,33 @@
             }
         };
         let addr = SocketAddr::from(([127, 0, 0, 1], 0));
-        let caps = || platform_http::monitoring_limits(8);
-        let addr = platform_http::bind(addr, caps, answer).await;
+        let limits = || platform_http::monitoring_limits(8);
+        let addr = platform_http::bind(addr, limits, answer).await;
         let worker = worker::open(addr.expect("a free port"));
         for fence in [1, 2, 1, 1, 2] {
-            let to = Recipient { fence, ..life() };
-            assert!(!(worker.stop)(to, run()).await);
+            let to = Recipient {
+                fence,
+                ..recipient()
+            };
+            assert!(!(worker.stop)(to, test_run()).await);
         }
         let tokens = mutex::lock(&tokens).clone();
         let [first, next, before, again, last] = tokens[..] else {
             panic!("{tokens:?}");
         };
-        assert!(first < next, "each life has a token of its own");
+        assert!(first < next, "each incarnation has a token of its own");
         assert!(before < last && again < last, "{tokens:?}");
         assert_eq!(
             before, again,
-            "a refused order for a dead life raises nothing"
+            "a refused order for an earlier incarnation raises no token"
         );
     });
 }
 
-/// Rows are read whole or not at all, and a history that is gone is told from a store that is away.
+/// An answer of the store is decoded whole or is an error, and a lost history is a different error from an unavailable
+/// store.
 #[test]
-fn answers_of_the_store() {
+fn store_answers_are_rows_or_errors() {
     support::block_on(async {
         let good = r#"{"rows":[{"table":"op","part":"","key":"config","value":"e30=","ver":4},
             {"table":"op","part":"","key":"old","ver":5,"tombstone":true}],"ver":9,"now_ms":77}"#;
@@ -277,16 +287,16 @@
         assert_eq!((rows.version, rows.now_ms), (9, 77));
         assert_eq!(rows.rows[0].value.as_deref(), Some(&b"{}"[..]));
         assert_eq!(rows.rows[1].value, None);
-        let away = |e: &Error| matches!(e, Error::Unavailable(_));
-        let gone = |e: &Error| *e == Error::HistoryGone;
-        let garbled = |e: &Error| *e == Error::InvalidAnswer;
+        let unavailable = |e: &Error| matches!(e, Error::Unavailable(_));
+        let history_gone = |e: &Error| *e == Error::HistoryGone;
+        let invalid = |e: &Error| *e == Error::InvalidAnswer;
         let cases: [(Script, fn(&Error) -> bool); 6] = [
-            (script(ServerAction::Answer, 503, ""), away),
-            (script(ServerAction::Answer, 429, ""), away),
-            (script(ServerAction::Answer, 410, ""), gone),
-            (script(ServerAction::Answer, 200, "no json"), garbled),
-            (script(ServerAction::Refuse, 0, ""), away),
-            (script(ServerAction::CloseAfter, 0, ""), away),
+            (script(ServerAction::Answer, 503, ""), unavailable),
+            (script(ServerAction::Answer, 429, ""), unavailable),
+            (script(ServerAction::Answer, 410, ""), history_gone),
+            (script(ServerAction::Answer, 200, "no json"), invalid),
+            (script(ServerAction::Refuse, 0, ""), unavailable),
+            (script(ServerAction::CloseAfter, 0, ""), unavailable),
         ];
         for (script, expected) in cases {
             let shown = format!("{script:?}");
@@ -300,10 +310,10 @@
     });
 }
 
-/// All workers stand idle because of one row that another program has written: what can't be read tells
-/// nothing, is counted, and the other rows hold.
+/// Guards against idle workers because of one row that another program has written. A row that can't be decoded is
+/// counted and ignored, and the other rows are valid.
 #[test]
-fn a_row_that_can_t_be_read_hides_no_other() {
+fn a_row_that_cannot_be_decoded_hides_no_other() {
     support::block_on(async {
         let unreadable = [
             r#"{"table":"op","part":"","key":"x","value":"%%%","ver":4}"#,
@@ -327,10 +337,10 @@
     });
 }
 
-/// Requests take the longest prefix of their host, whatever its case or port; a configuration that
-/// can't be read changes nothing.
+/// A request belongs to the class with the longest prefix among those of its host, whatever the host's case or port. A
+/// configuration that can't be decoded is an error.
 #[test]
-fn classes_by_host_and_path() {
+fn classes_are_found_by_host_and_longest_prefix() {
     let config = br#"{"version":7,"routes":[
         {"name":"short","host":"School.example","path_prefix":"/a/","service":"s","attempts":0,"stretch":0.5},
         {"name":"long","host":"school.example","path_prefix":"/a/b/","service":"s","slo_ms":60,"stretch":1.6}]}"#;
@@ -353,7 +363,7 @@
     assert_eq!(
         (class.attempts, class.stretch),
         (1, 1.0),
-        "never below what makes sense"
+        "raised to the least sensible values"
     );
     assert!(routes::decode(br#"{"routes":[]}"#).is_err());
     assert!(routes::decode(b"").is_err());
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of other writers: fields missing or of another type, states and services that nobody
-//! knows, bytes that can't be read. They name no worker, and the one that is there holds.
+//! Heartbeats that other programs send to an agent: fields are missing or of another type, states and services are
+//! unknown, bytes can't be decoded. The agent rejects or ignores them and keeps the backend server that it knows.
 
 mod support;
 
@@ -18,24 +18,24 @@
 
 use support::besteffort::{listed, Calls};
 
-/// Cases of the seeded search.
+/// Number of cases of the seeded search.
 const CASES: usize = 3_000;
 
-fn beat() -> Value {
+fn valid_heartbeat() -> Value {
     json!({"service": "svc", "addr": "127.0.0.1:9", "zone": "z", "version": "v1", "slots": 8,
         "state": "ready", "cold_left_ms": 0, "labels": ["a", "r1-1"], "clock_ms": 5, "seq": 7,
         "capacity": {"cpu": 8000, "mem_mb": 9000, "gpu": 0}})
 }
 
-/// An agent that listens for its backend server, which is there under the name `life` and no other.
-struct Listening {
+/// An agent that listens for announcements; the incarnation of its backend server has the id `life`.
+struct ListeningAgent {
     agent: Agent,
     addr: SocketAddr,
     client: http::Client,
 }
 
-impl Listening {
-    async fn open() -> Listening {
+impl ListeningAgent {
+    async fn open() -> ListeningAgent {
         let calls = Calls::default();
         let cfg = agent::Config {
             name: "agent".into(),
@@ -46,37 +46,45 @@
         };
         let agent = agent::bind(cfg, calls.server()).await;
         let agent = agent.expect("a free port");
-        tokio::spawn(answer(calls));
+        tokio::spawn(answer_listings(calls));
         let addr = SocketAddr::from(([127, 0, 0, 1], 0));
         let addr = announce::bind(addr, agent.clone()).await;
-        let listening = Listening {
+        let listener = ListeningAgent {
             agent,
             addr: addr.expect("a free port"),
             client: http::open(1 << 20),
         };
-        assert_eq!(listening.say("life", beat().to_string()).await, 200);
-        support::until("the life is known", || {
-            listening.agent.server_incarnation().id == "life"
+        assert_eq!(
+            listener
+                .send_heartbeat("life", valid_heartbeat().to_string())
+                .await,
+            200
+        );
+        support::until("the incarnation is known", || {
+            listener.agent.server_incarnation().id == "life"
         })
         .await;
-        listening
+        listener
     }
 
-    async fn say(&self, instance: &str, body: impl Into<Vec<u8>>) -> u16 {
+    /// Sends a heartbeat; returns the status of the answer.
+    async fn send_heartbeat(&self, instance: &str, body: impl Into<Vec<u8>>) -> u16 {
         let uri = format!("http://{}/-/instances/{instance}/heartbeat", self.addr);
         let call = Call::new(Method::POST, uri, body.into());
         let answer = self.client.call(call, support::HANG).await;
         answer.expect("an answer").status.as_u16()
     }
 
-    async fn leave(&self, instance: &str, body: impl Into<Vec<u8>>) -> u16 {
+    /// Sends a leave message; returns the status of the answer.
+    async fn send_leave(&self, instance: &str, body: impl Into<Vec<u8>>) -> u16 {
         let uri = format!("http://{}/-/instances/{instance}/deregister", self.addr);
         let call = Call::new(Method::POST, uri, body.into());
         let answer = self.client.call(call, support::HANG).await;
         answer.expect("an answer").status.as_u16()
     }
 
-    fn assert_holds(&self, after: &str) {
+    /// Asserts that the agent still knows the backend server as its first heartbeat announced it.
+    fn assert_backend_unchanged(&self, after: &str) {
         let known = self.agent.backend();
         assert_eq!(known.incarnation.id, "life", "{after}");
         assert_eq!(known.service, "svc", "{after}");
@@ -84,8 +92,9 @@
     }
 }
 
-/// Lists for the living backend server, and says of any other name that another one is there.
-async fn answer(calls: Calls) {
+/// Answers the agent's listing calls. Those meant for an id other than `life` are told that another incarnation is
+/// there.
+async fn answer_listings(calls: Calls) {
     loop {
         let (life, tx) = calls
             .next("a listing", |call| match call {
@@ -97,29 +106,29 @@
             "" | "life" => Ok(listed(Vec::new(), Vec::new())),
             _ => Err(ListingError::AnotherIncarnation),
         };
-        // The agent may have given the call up.
+        // The agent may no longer wait for the answer.
         let _ = tx.send(listing);
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// A living worker stands idle: another program sent a heartbeat under its name without a capacity, and
-/// one with a number that no later heartbeat reaches, so that its own words passed for late ones.
+/// Guards against a live backend server without work: another program sends heartbeats under its id, one without a
+/// capacity, and one with a number that no later heartbeat reaches, so that its own heartbeats count as late.
 #[test]
-fn a_heartbeat_that_can_t_be_true_changes_nothing() {
+fn an_invalid_heartbeat_changes_nothing() {
     support::block_on(async {
-        let listening = Listening::open().await;
+        let listener = ListeningAgent::open().await;
         let with = |field: &str, value: Value| {
-            let mut beat = beat();
-            beat["seq"] = json!(u64::MAX);
-            beat[field] = value;
-            beat.to_string().into_bytes()
+            let mut heartbeat = valid_heartbeat();
+            heartbeat["seq"] = json!(u64::MAX);
+            heartbeat[field] = value;
+            heartbeat.to_string().into_bytes()
         };
         let without = |field: &str| {
-            let mut beat = beat();
-            beat["seq"] = json!(u64::MAX);
-            beat.as_object_mut().expect("an object").remove(field);
-            beat.to_string().into_bytes()
+            let mut heartbeat = valid_heartbeat();
+            heartbeat["seq"] = json!(u64::MAX);
+            heartbeat.as_object_mut().expect("an object").remove(field);
+            heartbeat.to_string().into_bytes()
         };
         let mut cases: Vec<Vec<u8>> = vec![
             Vec::new(),
@@ -127,7 +136,7 @@
             b"[]".to_vec(),
             b"{}".to_vec(),
             b"\xff\xfe\x00".to_vec(),
-            beat().to_string().as_bytes()[..60].to_vec(),
+            valid_heartbeat().to_string().as_bytes()[..60].to_vec(),
         ];
         cases.extend(["service", "state", "seq", "capacity", "labels"].map(without));
         cases.extend([
@@ -152,29 +161,40 @@
         ]);
         for case in cases {
             let shown = String::from_utf8_lossy(&case).into_owned();
-            assert_eq!(listening.say("life", case).await, 400, "{shown}");
-            listening.assert_holds(&shown);
+            assert_eq!(listener.send_heartbeat("life", case).await, 400, "{shown}");
+            listener.assert_backend_unchanged(&shown);
         }
-        assert_eq!(listening.say("", beat().to_string()).await, 400);
-        listening.assert_holds("a heartbeat of nobody");
-        // Well-formed, and of a service that the living one isn't of.
-        let mut other = beat();
+        assert_eq!(
+            listener
+                .send_heartbeat("", valid_heartbeat().to_string())
+                .await,
+            400
+        );
+        listener.assert_backend_unchanged("a heartbeat without an id");
+        // This one is well-formed, but names another service than the known backend server's.
+        let mut other = valid_heartbeat();
         other["service"] = json!("nobody's");
-        assert_eq!(listening.say("life", other.to_string()).await, 200);
-        listening.assert_holds("another service");
-        assert_eq!(listening.leave("life", "no JSON").await, 400);
-        assert_eq!(listening.leave("life", r#"{"born":"x"}"#).await, 400);
-        assert_eq!(listening.leave("life", r#"{"born":77}"#).await, 200);
-        listening.assert_holds("a life that isn't there has left");
-        let mut next = beat();
+        assert_eq!(
+            listener.send_heartbeat("life", other.to_string()).await,
+            200
+        );
+        listener.assert_backend_unchanged("another service");
+        assert_eq!(listener.send_leave("life", "no JSON").await, 400);
+        assert_eq!(listener.send_leave("life", r#"{"born":"x"}"#).await, 400);
+        assert_eq!(listener.send_leave("life", r#"{"born":77}"#).await, 200);
+        listener.assert_backend_unchanged("a leave message of an unknown incarnation");
+        let mut next = valid_heartbeat();
         next["seq"] = json!(8);
         next["state"] = json!("draining");
-        assert_eq!(listening.say("life", next.to_string()).await, 200);
-        assert!(!listening.agent.backend().takes_work, "its own word counts");
+        assert_eq!(listener.send_heartbeat("life", next.to_string()).await, 200);
+        assert!(
+            !listener.agent.backend().takes_work,
+            "its own heartbeat is accepted"
+        );
     });
 }
 
-fn absurd(rng: &mut SmallRng) -> Value {
+fn unexpected_value(rng: &mut SmallRng) -> Value {
     let values = [
         Value::Null,
         json!(-1),
@@ -191,14 +211,14 @@
     values.choose(rng).expect("there are some").clone()
 }
 
-/// Whatever another writer says of a worker of its own, the living one is asked for and holds.
+/// Guards against mutated heartbeats under other ids that replace the known backend server.
 #[test]
-fn no_mutation_of_a_heartbeat_brings_a_worker_down() {
+fn no_mutated_heartbeat_replaces_the_known_backend_server() {
     support::block_on(async {
-        let listening = Listening::open().await;
+        let listener = ListeningAgent::open().await;
         let mut rng = SmallRng::seed_from_u64(11);
         for case in 0..CASES {
-            let mut mutated = beat();
+            let mut mutated = valid_heartbeat();
             let fields: Vec<String> = mutated
                 .as_object()
                 .expect("an object")
@@ -207,7 +227,7 @@
                 .collect();
             for _ in 0..rng.random_range(0..3) {
                 let field = fields.choose(&mut rng).expect("there are some");
-                mutated[field.as_str()] = absurd(&mut rng);
+                mutated[field.as_str()] = unexpected_value(&mut rng);
             }
             let mut bytes = mutated.to_string().into_bytes();
             for _ in 0..rng.random_range(0..3) {
@@ -216,9 +236,9 @@
             }
             let shown = format!("case {case}: {}", String::from_utf8_lossy(&bytes));
             let instance = format!("other-{}", case % 20);
-            let status = listening.say(&instance, bytes).await;
+            let status = listener.send_heartbeat(&instance, bytes).await;
             assert!(status == 200 || status == 400, "{status} for {shown}");
-            listening.assert_holds(&shown);
+            listener.assert_backend_unchanged(&shown);
         }
     });
 }
--- a/tests/support/memory.rs
+++ b/tests/support/memory.rs
@@ -1,4 +1,4 @@
-//! A platform of closures over rows in memory, with injected faults.
+//! A platform that keeps rows and objects in memory, and whose operations fail as a test says.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,36 +9,36 @@
 use lovagemill::standin::store;
 use lovagemill::wire::platform::{self, Error};
 
-/// What befalls an operation.
+/// How an operation fails, if it does.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// The operation succeeds.
     None,
-    /// It has no effect.
+    /// The operation has no effect, and the caller learns so.
     Down,
-    /// It has no effect, and nobody can tell.
+    /// The operation has no effect, and the caller doesn't learn whether it had.
     RequestLost,
-    /// It takes effect and its answer is lost.
+    /// The operation takes effect, and the caller doesn't learn whether it did.
     AnswerLost,
 }
 
-/// An operation, as faults see it.
+/// The kind of an operation, by which a test chooses its fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Operation {
-    /// A read of table or object store.
+    /// A read of the table or the object store.
     Read,
-    /// A write to table or object store.
+    /// A write to the table or the object store.
     Write,
 }
 
 type Faults = Box<dyn FnMut(Operation) -> Fault + Send>;
 
-/// The platform's state; clones share it, so that several processes meet on it.
+/// The platform's state. Clones share it, as processes share a platform.
 #[derive(Clone)]
 pub struct MemoryPlatform {
-    /// The rows.
+    /// The table's rows.
     pub store: Arc<Mutex<store::Store>>,
-    /// The objects.
+    /// The object store's objects by name.
     pub objects: Arc<Mutex<HashMap<CompactString, Bytes>>>,
     reads: Arc<AtomicU64>,
     writes: Arc<AtomicU64>,
@@ -55,18 +55,18 @@
         }
     }
 
-    /// Operations asked for so far, failed ones included.
+    /// Returns the number of reads and of writes so far, including failed ones.
     pub fn operations(&self) -> (u64, u64) {
         let load = |n: &AtomicU64| n.load(Ordering::SeqCst);
         (load(&self.reads), load(&self.writes))
     }
 
-    /// One process's access, without faults.
+    /// Returns one process's access, without faults.
     pub fn platform(&self) -> platform::Platform {
         self.platform_with_faults(Box::new(|_| Fault::None))
     }
 
-    /// One process's access, with faults of its own.
+    /// Returns one process's access, with faults of its own.
     pub fn platform_with_faults(&self, faults: Faults) -> platform::Platform {
         let access = Access {
             memory: self.clone(),
@@ -91,15 +91,15 @@
         platform::Table {
             get: Arc::new(move |key| {
                 let access = get.clone();
-                access.run(Operation::Read, move |m| rows(m, |s| s.get(&key)))
+                access.run(Operation::Read, move |m| with_rows(m, |s| s.get(&key)))
             }),
             scan: Arc::new(move |prefix| {
                 let access = scan.clone();
-                access.run(Operation::Read, move |m| rows(m, |s| s.scan(&prefix)))
+                access.run(Operation::Read, move |m| with_rows(m, |s| s.scan(&prefix)))
             }),
             commit: Arc::new(move |tx| {
                 let access = commit.clone();
-                access.run(Operation::Write, move |m| rows(m, |s| s.commit(&tx)))
+                access.run(Operation::Write, move |m| with_rows(m, |s| s.commit(&tx)))
             }),
         }
     }
@@ -155,6 +155,7 @@
     }
 }
 
-fn rows<T>(memory: &MemoryPlatform, apply: impl FnOnce(&mut store::Store) -> T) -> T {
+/// Runs `apply` on the rows.
+fn with_rows<T>(memory: &MemoryPlatform, apply: impl FnOnce(&mut store::Store) -> T) -> T {
     apply(&mut memory.store.lock().unwrap())
 }
--- a/tests/support/schedule.rs
+++ b/tests/support/schedule.rs
@@ -1,14 +1,15 @@
-//! Events of a play in virtual time, in the order of their times, and of their making where these agree.
+//! Events of a simulation in virtual time, ordered by time. Events of the same time keep the order in which they were
+//! inserted.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What is still to happen; times are in whatever unit the play counts.
+/// The events that are still to come; the simulation chooses the unit of time.
 #[derive(Debug)]
 pub struct Schedule<E> {
     order: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, E>,
-    last: u64,
+    last_number: u64,
 }
 
 impl<E> Default for Schedule<E> {
@@ -16,20 +17,20 @@
         Schedule {
             order: BinaryHeap::new(),
             events: HashMap::new(),
-            last: 0,
+            last_number: 0,
         }
     }
 }
 
 impl<E> Schedule<E> {
-    /// Has an event happen at a time.
+    /// Schedules an event at a time.
     pub fn insert(&mut self, at: u64, event: E) {
-        self.last += 1;
-        self.order.push(Reverse((at, self.last)));
-        self.events.insert(self.last, event);
+        self.last_number += 1;
+        self.order.push(Reverse((at, self.last_number)));
+        self.events.insert(self.last_number, event);
     }
 
-    /// Takes the next event, and its time.
+    /// Removes the next event; returns its time and the event.
     pub fn next(&mut self) -> Option<(u64, E)> {
         let Reverse((at, number)) = self.order.pop()?;
         let event = self.events.remove(&number)?;
--- a/tests/support/script.rs
+++ b/tests/support/script.rs
@@ -1,4 +1,4 @@
-//! A server that reads one request and then does what a case's script says, on raw sockets.
+//! A server on raw sockets that handles each request as a test case's script says.
 
 use std::net;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,39 +10,39 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// What the server does.
+/// How the server handles a connection.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerAction {
-    /// Nothing listens.
+    /// Nothing listens on the port.
     Refuse,
-    /// It closes the connection before it reads.
+    /// The server closes the connection before it reads.
     CloseBefore,
-    /// It reads the request and closes.
+    /// The server reads the request and closes the connection.
     CloseAfter,
-    /// It reads the request and never answers.
+    /// The server reads the request and never answers.
     Hang,
-    /// It answers.
+    /// The server answers each request.
     Answer,
 }
 
-/// A script.
+/// What the server does on one connection, and its answer.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Script {
-    /// What the server does.
+    /// How the server handles the connection.
     pub server: ServerAction,
-    /// The status of its answer.
+    /// The HTTP status of the answer.
     #[serde(default = "ok")]
     pub status: u16,
-    /// The body of its answer.
+    /// The body of the answer.
     #[serde(default)]
     pub body: String,
-    /// How often the body is repeated.
+    /// Number of times that the body is repeated.
     #[serde(default = "once")]
     pub repeat: usize,
-    /// The length that the answer declares, where it isn't the body's.
+    /// The content length that the answer declares, in bytes, where it isn't the body's.
     pub length: Option<usize>,
-    /// Sends the answer twice on the connection.
+    /// Whether the answer is sent twice on the connection.
     #[serde(default)]
     pub twice: bool,
 }
@@ -63,26 +63,26 @@
 }
 
 impl ScriptedServer {
-    /// Binds a server on any port.
+    /// Binds a server on a free port that follows one script on every connection.
     pub async fn bind(script: Script) -> ScriptedServer {
         ScriptedServer::bind_sequence(vec![script]).await
     }
 
-    /// Binds a server that does for each connection what the next script says, and from the last one on
-    /// what that says.
+    /// Binds a server that follows the next script on each new connection, and the last script on all further
+    /// connections.
     pub async fn bind_sequence(scripts: Vec<Script>) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let requests: Arc<AtomicU64> = Arc::default();
         let counting = requests.clone();
-        // Dropping the listener frees the port, where a connection is refused.
+        // Without a task the listener is dropped, and the port refuses connections.
         let serving = (scripts[0].server != ServerAction::Refuse).then(|| {
             tokio::spawn(async move {
-                let mut turn = 0;
+                let mut connection = 0;
                 loop {
                     let (stream, _) = listener.accept().await.unwrap();
-                    let script = scripts[turn.min(scripts.len() - 1)].clone();
-                    turn += 1;
+                    let script = scripts[connection.min(scripts.len() - 1)].clone();
+                    connection += 1;
                     tokio::spawn(serve(stream, script, counting.clone()));
                 }
             })
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Host and port.
+    /// Returns the server's host and port.
     pub fn addr(&self) -> String {
         self.addr.to_string()
     }
 
-    /// Requests that were read.
+    /// Returns the number of requests that were read.
     pub fn requests(&self) -> u64 {
         self.requests.load(Ordering::SeqCst)
     }
@@ -139,7 +139,7 @@
     }
 }
 
-/// Reads one request with a declared length; tells whether there was one.
+/// Reads one request, with the body length that its head declares; returns whether there was one.
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut read = Vec::new();
     let mut buf = [0; 4096];
--- a/tests/users_platform/main.rs
+++ b/tests/users_platform/main.rs
@@ -1,4 +1,4 @@
-//! The two programs of the users' platform as processes, against stand-ins of its interfaces.
+//! The two programs of the users' platform as processes, with stand-ins for the platform's store and workers.
 
 mod processes;
 mod standins;
@@ -17,7 +17,7 @@
 use processes::Process;
 use standins::{Store, Worker};
 
-/// Longest that a caller of a test waits; nothing depends on it but a hang.
+/// Time limit of a call in a test; it only ends a hang.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
@@ -33,18 +33,20 @@
     })
 }
 
+/// A route of a configuration.
 fn route(prefix: &str) -> Value {
     json!({"name": format!("r{}", prefix.replace('/', "-")), "host": "school.example", "path_prefix": prefix,
         "type": "unsafe", "timeout_ms": 30000, "slo_ms": 5000, "priority": 0, "service": "svc",
         "attempts": 2, "stretch": 3.0})
 }
 
+/// A job whose tasks run for `ms` milliseconds each.
 fn job(tasks: u32, ms: u32) -> Value {
     json!({"spec": ms.to_string(), "best_effort": true,
         "steps": [{"count": tasks, "cpu": 1000, "mem_mb": 10, "est_runtime_ms": ms}]})
 }
 
-/// The whole system: a store, entries, and workers with their agents.
+/// A store, entries, and workers with their agents.
 struct System {
     store: Store,
     entries: Vec<Process>,
@@ -54,6 +56,7 @@
 }
 
 impl System {
+    /// Starts all processes; returns once every entry knows that every worker takes work.
     async fn open(test: &str, entries: usize, workers: usize) -> System {
         let store = Store::open().await;
         store.configure(1, &[route("/trips/")]);
@@ -123,45 +126,48 @@
         )
     }
 
-    /// How often each task ran, and whether two runs of one met.
+    /// Returns how often each task ran, and whether two runs of a task overlapped.
     fn run_counts(&self) -> (BTreeMap<String, usize>, bool) {
         let all: Vec<_> = self.workers.iter().flat_map(Worker::runs).collect();
         let mut counts = BTreeMap::new();
-        let mut met = false;
-        for (n, ran) in all.iter().enumerate() {
-            *counts.entry(ran.task.clone()).or_default() += 1;
-            met |= all[..n].iter().any(|other| {
-                let apart = other.ended.is_some_and(|end| end <= ran.began)
-                    || ran.ended.is_some_and(|end| end <= other.began);
-                other.task == ran.task && !apart
+        let mut overlap = false;
+        for (n, run) in all.iter().enumerate() {
+            *counts.entry(run.task.clone()).or_default() += 1;
+            overlap |= all[..n].iter().any(|other| {
+                let apart = other.ended.is_some_and(|end| end <= run.began)
+                    || run.ended.is_some_and(|end| end <= other.began);
+                other.task == run.task && !apart
             });
         }
-        (counts, met)
+        (counts, overlap)
     }
 }
 
-/// A quiet day in small: every job is answered as complete, and each of its tasks ran once.
+/// Without faults every job is answered as complete, and each of its tasks runs once.
 #[test]
-fn a_calm_day_is_served() {
+fn each_task_runs_once_without_faults() {
     block_on(async {
         let system = System::open("calm", 2, 3).await;
         for round in 0..20_u64 {
             let jobs = (0..4).map(|n| (n, round * 4 + n as u64));
             let jobs: Vec<_> = jobs.collect();
-            let asked = job(1 + round as u32 % 4, 10);
-            let answers = jobs.iter().map(|(n, id)| system.submit(n % 2, *id, &asked));
-            for (status, body) in futures(answers).await {
+            let submitted = job(1 + round as u32 % 4, 10);
+            let answers = jobs
+                .iter()
+                .map(|(n, id)| system.submit(n % 2, *id, &submitted));
+            for (status, body) in join_all(answers).await {
                 assert_eq!((status, &body["state"]), (200, &json!("complete")));
             }
         }
-        let (counts, met) = system.run_counts();
-        assert!(counts.values().all(|n| *n == 1) && !met, "{counts:?}");
+        let (counts, overlap) = system.run_counts();
+        assert!(counts.values().all(|n| *n == 1) && !overlap, "{counts:?}");
         let tasks: u64 = (0..20).map(|round| 4 * (1 + round % 4)).sum();
         assert_eq!(counts.len() as u64, tasks);
     });
 }
 
-async fn futures<T>(all: impl Iterator<Item = impl std::future::Future<Output = T>>) -> Vec<T> {
+/// Waits for all futures at once; returns their results in the order in which they complete.
+async fn join_all<T>(all: impl Iterator<Item = impl std::future::Future<Output = T>>) -> Vec<T> {
     let mut done = Vec::new();
     let mut all: Vec<_> = all.map(Box::pin).collect();
     std::future::poll_fn(|cx| {
@@ -182,10 +188,10 @@
     done
 }
 
-/// Mistaken, strange and unserved requests get their answer, and the entry lives on: kinds of jobs
-/// that aren't served are refused as not run, never run by halves.
+/// Malformed, unusual and unserved requests are answered with the right status, and the entry goes on serving. Kinds of
+/// jobs that aren't served are refused as not run, and never run in part.
 #[test]
-fn what_callers_get_for_strange_requests() {
+fn malformed_and_unserved_requests_are_answered() {
     block_on(async {
         let system = System::open("strange", 1, 1).await;
         let id = "/trips/00000000000000aa";
@@ -304,15 +310,16 @@
         assert_eq!(
             system.submit(0, 1, &job(2, 5)).await.0,
             200,
-            "the entry lives on"
+            "the entry goes on serving"
         );
-        assert_eq!(system.run_counts().0.len(), 2, "nothing else ran");
+        assert_eq!(system.run_counts().0.len(), 2, "no other task ran");
     });
 }
 
-/// Half a request, or a sender that dawdles, holds no answer back for others and is turned out.
+/// A connection with half a request or with garbage delays no answer to others, and half a request is answered with
+/// status 408.
 #[test]
-fn a_slow_sender_is_turned_out() {
+fn a_slow_sender_is_answered_with_a_timeout() {
     block_on(async {
         let system = System::open("slow", 1, 1).await;
         let mut slow = TcpStream::connect(system.entries[0].addr("callers"))
@@ -338,13 +345,13 @@
     });
 }
 
-/// An entry that is stopped cuts off a caller in the middle of its job. It must finish what it has,
-/// say that it closes, take itself out of the balancer, and only then end.
+/// Guards against a stopping entry that breaks off the connection of a caller whose job is running. The entry must
+/// answer its jobs and tell the balancer that it isn't ready, and only then end.
 #[test]
-fn a_stopping_entry_answers_what_it_has() {
+fn a_stopping_entry_answers_its_open_jobs() {
     block_on(async {
         let mut system = System::open("stop", 1, 1).await;
-        let asked = job(2, 700);
+        let submitted = job(2, 700);
         let uri = format!("http://{}/-/ready", system.entries[0].addr("ready"));
         let is_ready = || async {
             let ready = system
@@ -352,7 +359,7 @@
                 .call(Call::new(Method::GET, uri.clone(), ""), PATIENCE);
             ready.await.expect("an answer").status.as_u16() == 200
         };
-        // The balancer hears of it once no agent has come for a moment.
+        // The entry is ready once no further agent has linked for a moment.
         let began = std::time::Instant::now();
         while !is_ready().await {
             assert!(began.elapsed() < PATIENCE, "never ready");
@@ -371,7 +378,10 @@
                 .await;
             ready.expect("an answer").status.as_u16()
         };
-        let call = system.call(0, (Method::POST, "school.example", path, asked.to_string()));
+        let call = system.call(
+            0,
+            (Method::POST, "school.example", path, submitted.to_string()),
+        );
         let (answer, ready) = tokio::join!(call, stopped);
         assert_eq!(answer.expect("an answer").status.as_u16(), 200);
         assert_eq!(ready, 503);
@@ -379,20 +389,20 @@
     });
 }
 
-/// An agent that is stopped loses the work of its backend server: it must let it end, and hand the
-/// answers over, before it goes.
+/// Guards against a stopping agent that loses the runs of its backend server. It must wait for their ends and report
+/// them to the entry before it ends.
 #[test]
-fn a_stopping_agent_lets_its_work_end() {
+fn a_stopping_agent_lets_its_runs_end() {
     block_on(async {
         let mut system = System::open("agent", 1, 1).await;
-        let asked = job(2, 600);
+        let submitted = job(2, 600);
         let stopped = async {
             while system.workers[0].runs().is_empty() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             system.agents[0].signal("-TERM");
         };
-        let ((status, _), ()) = tokio::join!(system.submit(0, 1, &asked), stopped);
+        let ((status, _), ()) = tokio::join!(system.submit(0, 1, &submitted), stopped);
         assert_eq!(status, 200);
         assert!(system.agents[0].wait_until_ended());
         let (counts, _) = system.run_counts();
@@ -400,18 +410,18 @@
         assert_eq!(
             system.submit(0, 2, &job(1, 5)).await.0,
             503,
-            "nobody takes work"
+            "no worker takes work"
         );
     });
 }
 
-/// An agent is killed beside a living backend server: the next one knows it from the store at once, and
-/// serves before the backend server's next heartbeat, which comes every second and a half.
+/// Guards against an agent that idles after a restart until the next heartbeat of its backend server, which comes every
+/// second and a half. The agent reads the backend server's row from the store and serves at once.
 #[test]
-fn an_agent_remembers_its_backend_server() {
+fn a_restarted_agent_restores_its_backend_server_from_the_store() {
     block_on(async {
         let mut system = System::open("recall", 1, 1).await;
-        let seen = |line: &Value| {
+        let is_restored = |line: &Value| {
             line["message"] == "backend server is remembered" && line["there"] == true
         };
         system.store.wait_for_rows("backends").await;
@@ -422,8 +432,8 @@
             system.store.addr,
             system.workers[0].addr,
         );
-        // Nobody announces the backend server to this one.
-        system.agents[0].wait_for_line(seen);
+        // The restarted agent gets no heartbeats.
+        system.agents[0].wait_for_line(is_restored);
         system.entries[0].wait_for_line(|line| {
             line["message"] == "agent changed its mind about new work" && line["takes_work"] == true
         });
@@ -431,9 +441,9 @@
     });
 }
 
-/// On-call engineers see nothing of a slow day: the metrics name jobs by outcome and their times.
+/// The metrics pages count jobs by outcome and show their times, so that operators notice slow jobs.
 #[test]
-fn metrics_tell_of_jobs_and_times() {
+fn metrics_count_jobs_and_show_their_times() {
     block_on(async {
         let system = System::open("metrics", 1, 1).await;
         assert_eq!(system.submit(0, 1, &job(2, 5)).await.0, 200);
@@ -481,10 +491,10 @@
     });
 }
 
-/// Both programs ended by themselves when the platform said, with a HUP signal, that their settings
-/// had changed.
+/// Guards against programs that end at a HUP signal, with which the platform reports that their settings have
+/// changed.
 #[test]
-fn a_hangup_reads_the_settings_again() {
+fn a_hup_signal_makes_the_programs_read_their_settings_again() {
     block_on(async {
         let system = System::open("hup", 1, 1).await;
         for process in system.entries.iter().chain(&system.agents) {
@@ -497,10 +507,10 @@
     });
 }
 
-/// A configuration comes into force and never goes back, though the store's history is dropped, or
-/// the store is away.
+/// A newer configuration comes into force and an older one never does, even where the store's history is dropped or the
+/// store is unavailable.
 #[test]
-fn a_configuration_comes_into_force_and_stays() {
+fn a_newer_configuration_comes_into_force_and_an_older_one_never() {
     block_on(async {
         let system = System::open("config", 1, 1).await;
         let status = |path: &'static str| {
@@ -536,16 +546,16 @@
     });
 }
 
-/// A process stands still because nobody reads its log: the pipe fills up, and the next line blocks
-/// it. Lines are dropped instead.
+/// Guards against a process that blocks because nobody reads its log: the pipe is full, and the next line waits for
+/// room. The process drops lines instead.
 #[test]
-fn a_log_that_nobody_reads_blocks_nothing() {
+fn a_log_that_nobody_reads_blocks_no_process() {
     block_on(async {
         let store = Store::open().await;
         store.configure(1, &[route("/trips/")]);
         let entry = processes::entry_with_unread_log("unread-entry", store.addr);
         let client = http::open(1024 * 1024);
-        // Each refused job writes a line of some 300 bytes; a pipe holds 64 KiB, and the queue 1,024 lines.
+        // Each refused job logs a line of some 300 bytes; a pipe holds 64 KiB, and the log's queue 1,024 lines.
         for id in 0..4_000_u64 {
             let uri = format!("http://{}/trips/{id:016x}", entry.addr("callers"));
             let call = Call::new(Method::POST, uri, job(1, 5).to_string())
@@ -556,9 +566,9 @@
     });
 }
 
-/// Work goes to a worker that has said that it leaves.
+/// Guards against work for a worker that has announced that it is leaving.
 #[test]
-fn a_leaving_worker_gets_nothing_new() {
+fn a_leaving_worker_gets_no_new_work() {
     block_on(async {
         let system = System::open("leave", 1, 2).await;
         system.workers[0].leave();
@@ -574,42 +584,45 @@
     });
 }
 
-/// Work goes to a worker that has said that it leaves, and a healthy one gets none. Both had crashed and
-/// come back under the id that they had. The heartbeats of the next life, numbered anew, passed for late
-/// ones of the life before: acknowledged, and not taken in. So did its listings where its clock began anew
-/// below that of the life before. The evidence: the agent logged no change of mind, and counted the very
-/// heartbeat that it acknowledged among the words that it passed over.
+/// Guards against work for a worker that is leaving, and against a healthy worker without work, after both crashed and
+/// restarted under the same id. The agent took the next incarnation's heartbeats, whose numbers start afresh, for late
+/// ones of the incarnation before: it acknowledged and ignored them. It did so with listings too, where the clock had
+/// started afresh at a smaller time.
 #[test]
-fn a_worker_that_came_back_under_its_id_leaves_and_serves_like_a_new_one() {
+fn a_worker_restarted_under_its_id_leaves_and_serves_like_a_new_one() {
     block_on(async {
         let system = System::open("back", 1, 2).await;
         let (worker, entry) = (&system.workers[0], &system.entries[0]);
         worker.restart(5_000_000);
         worker.leave();
-        takes_work(entry, "back-agent-0", false);
+        wait_until_takes_work(entry, "back-agent-0", false);
         let before = worker.runs().len();
         for id in 0..20 {
             assert_eq!(system.submit(0, id, &job(2, 5)).await.0, 200);
         }
-        assert_eq!(worker.runs().len(), before, "work for one that leaves");
+        assert_eq!(
+            worker.runs().len(),
+            before,
+            "work for a worker that is leaving"
+        );
 
         worker.restart(500);
-        takes_work(entry, "back-agent-0", true);
-        // Eight fit on one of the two.
+        wait_until_takes_work(entry, "back-agent-0", true);
+        // Eight tasks fit on one of the two workers.
         assert_eq!(system.submit(0, 100, &job(12, 30)).await.0, 200);
         assert_ne!(worker.runs().len(), before, "it serves again");
     });
 }
 
-/// A caller whose entry is killed submits again elsewhere, 1.3 s later: nothing of the first run may
-/// be left by then. The backend servers live on and say when each run ended.
+/// Guards against two runs of a task after its entry was killed: the caller submits again to another entry 1.3 s later,
+/// and the first run must have ended by then. The workers go on and record when each run ended.
 #[test]
-fn nothing_outlives_a_killed_entry() {
+fn no_run_outlives_a_killed_entry() {
     block_on(async {
         let mut system = System::open("killed", 2, 1).await;
-        // Longer than the test may take, though nobody said so.
-        let mut asked = job(2, 100_000);
-        asked["steps"][0]["est_runtime_ms"] = json!(1_000);
+        // The tasks run for longer than the test may take, but declare a short run time.
+        let mut submitted = job(2, 100_000);
+        submitted["steps"][0]["est_runtime_ms"] = json!(1_000);
         let killed = async {
             while system.workers[0].runs().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -617,44 +630,46 @@
             system.entries[0].signal("-KILL");
         };
         let path = "/trips/0000000000000001";
-        let call = system.call(0, (Method::POST, "school.example", path, asked.to_string()));
+        let call = system.call(
+            0,
+            (Method::POST, "school.example", path, submitted.to_string()),
+        );
         let (answer, ()) = tokio::join!(call, killed);
         assert!(answer.is_err(), "the connection broke");
         while system.workers[0]
             .runs()
             .iter()
-            .any(|ran| ran.ended.is_none())
+            .any(|run| run.ended.is_none())
         {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let hows: Vec<&str> = system.workers[0].runs().iter().map(|ran| ran.how).collect();
+        let hows: Vec<&str> = system.workers[0].runs().iter().map(|run| run.how).collect();
         assert!(
             hows.iter().all(|how| ["stopped", "lapsed"].contains(how)),
             "{hows:?}"
         );
         assert!(!system.entries[0].wait_until_ended());
         assert_eq!(system.submit(1, 1, &job(2, 20)).await.0, 200);
-        assert!(!system.run_counts().1, "two runs met");
+        assert!(!system.run_counts().1, "two runs of a task overlapped");
     });
 }
 
-/// A task starts on a backend server whose failure domain is about to lose its power. The operator had
-/// evacuated the domain; then its agent was started anew while the store was away, and an entry that had
-/// known the evacuation only from the store's history would have sent it work again. Taken back while
-/// the history is gone, the domain must serve as before.
+/// Guards against a task that starts in an evacuated failure domain, which may be about to lose its power. The domain's
+/// agent restarts while the store is unavailable, and an entry that takes evacuations only from the store's history
+/// would send it work. A domain that is taken back while the history is lost must serve as before.
 #[test]
-fn an_evacuated_domain_gets_nothing_until_it_is_taken_back() {
+fn an_evacuated_domain_gets_no_work_until_it_is_taken_back() {
     block_on(async {
         let mut system = System::open("evacuated", 2, 1).await;
         system.add_worker_in("y", "evacuated", 1).await;
         for entry in &system.entries {
-            takes_work(entry, "evacuated-agent-1", true);
+            wait_until_takes_work(entry, "evacuated-agent-1", true);
         }
         system.store.evacuate("y");
         for entry in &system.entries {
-            takes_work(entry, "evacuated-agent-1", false);
+            wait_until_takes_work(entry, "evacuated-agent-1", false);
         }
-        // An entry that starts now has never seen the row come.
+        // An entry that starts now reads the row without having seen the change.
         let late = processes::entry("evacuated-entry-late", system.store.addr);
         late.wait_for_line(|line| {
             line["message"] == "evacuated failure domains" && line["domains"] == "y"
@@ -668,17 +683,17 @@
             system.store.addr,
             system.workers[1].addr,
         );
-        let told = |line: &Value| {
+        let is_evacuated = |line: &Value| {
             line["message"] == "failure domain was evacuated or taken back"
                 && line["evacuated"] == true
         };
-        system.agents[1].wait_for_line(told);
+        system.agents[1].wait_for_line(is_evacuated);
         let announce = system.agents[1].addr("announce");
         system.workers[1].announce(announce, system.client.clone());
         system.agents[1].wait_for_line(|line| line["message"] == "backend server has a new life");
-        let asked = job(8, 30);
+        let submitted = job(8, 30);
         for id in 0..4 {
-            assert_eq!(system.submit(id as usize % 2, id, &asked).await.0, 200);
+            assert_eq!(system.submit(id as usize % 2, id, &submitted).await.0, 200);
         }
         assert_eq!(system.workers[1].runs().len(), 0, "nothing runs there");
 
@@ -686,9 +701,9 @@
         system.store.compact();
         system.store.set_unavailable(false);
         for entry in &system.entries {
-            takes_work(entry, "evacuated-agent-1", true);
+            wait_until_takes_work(entry, "evacuated-agent-1", true);
         }
-        // Eight fit on one of the two.
+        // Eight tasks fit on one of the two workers.
         for id in 10..14 {
             assert_eq!(
                 system.submit(id as usize % 2, id, &job(12, 30)).await.0,
@@ -699,7 +714,8 @@
     });
 }
 
-fn takes_work(entry: &Process, agent: &str, takes_work: bool) {
+/// Waits until an entry logs whether an agent takes work.
+fn wait_until_takes_work(entry: &Process, agent: &str, takes_work: bool) {
     entry.wait_for_line(|line| {
         line["message"] == "agent changed its mind about new work"
             && line["agent"] == agent
@@ -707,46 +723,46 @@
     });
 }
 
-/// Each worker that starts a task crashes under it, and is back under its id. The caller is told that the job
-/// has failed once two have, and so is one that submits it again at another entry.
+/// A task crashes each worker that starts it; the worker restarts under the same id. After two crashes the job is
+/// answered as failed, and again so where it is submitted to another entry.
 #[test]
 fn a_task_that_crashes_workers_is_given_up() {
     block_on(async {
         let system = System::open("crash", 2, 3).await;
-        let mut asked = job(1, 500);
-        asked["spec"] = json!("crash");
+        let mut submitted = job(1, 500);
+        submitted["spec"] = json!("crash");
         let crashes = || {
             let all = system.workers.iter().flat_map(Worker::runs);
-            all.filter(|ran| ran.how == "crashed").count()
+            all.filter(|run| run.how == "crashed").count()
         };
-        let (status, answer) = system.submit(0, 1, &asked).await;
+        let (status, answer) = system.submit(0, 1, &submitted).await;
         assert_eq!((status, &answer["state"]), (200, &json!("failed")));
         assert_eq!(crashes(), 2);
         system.entries[0].wait_for_line(|line| {
             line["message"] == "job is given up since backend servers crash under its task"
         });
-        let (status, answer) = system.submit(1, 1, &asked).await;
+        let (status, answer) = system.submit(1, 1, &submitted).await;
         assert_eq!((status, &answer["state"]), (200, &json!("failed")));
         assert_eq!(crashes(), 2, "it isn't started again");
         assert_eq!(system.submit(1, 2, &job(4, 20)).await.0, 200);
     });
 }
 
-/// Guards against reads that cost what there is and not what has changed: every entry read the whole list again
-/// and again, so that a fleet of ten times the size cost a hundred times as much.
+/// Guards against entries that read the whole list of agents repeatedly. With ten times as many entries and agents,
+/// this costs a hundred times as much; reading only what has changed doesn't.
 #[test]
 fn entries_read_the_list_of_agents_once_and_then_what_changes() {
     block_on(async {
         let mut system = System::open("reads", 2, 3).await;
-        // Agents list themselves within a look of the first heartbeat, and entries gather what has changed.
-        let settled = || system.store.rows_served("agents");
-        let mut before = settled();
+        // An agent writes its row shortly after the first heartbeat, and an entry pauses between reads of changes.
+        let rows_served = || system.store.rows_served("agents");
+        let mut before = rows_served();
         loop {
             tokio::time::sleep(Duration::from_secs(2)).await;
-            if settled() == before {
+            if rows_served() == before {
                 break;
             }
-            before = settled();
+            before = rows_served();
         }
         tokio::time::sleep(Duration::from_secs(6)).await;
         assert_eq!(
@@ -756,11 +772,11 @@
         );
         system.add_worker("reads", 3).await;
         for entry in &system.entries {
-            takes_work(entry, "reads-agent-3", true);
+            wait_until_takes_work(entry, "reads-agent-3", true);
         }
         assert!(
             system.store.rows_served("agents") <= before + 2 + 1,
-            "one row each, and the agent's own look"
+            "one row for each entry, and one for the agent's own check"
         );
     });
 }
@@ -771,11 +787,11 @@
 fn callers_wait_for_the_first_configuration() {
     block_on(async {
         let store = Store::open().await;
-        store.set_slow(Duration::from_millis(100));
+        store.set_delay(Duration::from_millis(100));
         store.configure(7, &[route("/trips/")]);
         let configuration = Configuration::default();
-        let at_once = configuration.wait_for_first(clock::since_boot()).await;
-        assert_eq!(at_once.version, 0, "nobody waits longer than said");
+        let without_wait = configuration.wait_for_first(clock::since_boot()).await;
+        assert_eq!(without_wait.version, 0, "waits no longer than the limit");
         let client = lovagemill::platform::store::open(store.addr);
         let wait = Duration::from_millis(200);
         let following = configuration::follow(client, configuration.clone(), wait, |_| {});
--- a/tests/users_platform/processes.rs
+++ b/tests/users_platform/processes.rs
@@ -1,4 +1,4 @@
-//! Starts the two programs of the users' platform on free ports, and ends them and only them.
+//! Starts the two programs of the users' platform on free ports, and ends each process by its id.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -15,13 +15,15 @@
 const ENTRY: &str = env!("CARGO_BIN_EXE_lovagemill-platform-entry");
 const AGENT: &str = env!("CARGO_BIN_EXE_lovagemill-platform-agent");
 
-/// Ends a hang; no verdict depends on it.
+/// Time limit of a test that hangs; no result depends on it.
 pub const HANG: Duration = Duration::from_secs(60);
 
-/// A process that is killed when the test ends, however it ends.
+/// A process that is killed when the test ends, passed or failed.
 pub struct Process {
     child: Child,
+    /// The log line with the bound addresses.
     listens: Value,
+    /// The log lines that no test has taken yet.
     lines: mpsc::Receiver<Value>,
 }
 
@@ -32,17 +34,19 @@
     }
 }
 
-fn settings(name: &str, content: &Value) -> PathBuf {
+/// Writes a settings file; returns its path.
+fn write_settings(name: &str, content: &Value) -> PathBuf {
     let file = format!("{}-{name}.json", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(file);
     std::fs::write(&path, content.to_string()).expect("the settings can be written");
     path
 }
 
-fn start(binary: &str, name: &str, content: &Value, read: bool) -> Process {
+/// Starts a program and waits until it listens. If `reads_log` is false, nobody reads its log from then on.
+fn start(binary: &str, name: &str, content: &Value, reads_log: bool) -> Process {
     let mut command = Command::new(binary);
     command
-        .env("LOVAGEMILL_BOOT", settings(name, content))
+        .env("LOVAGEMILL_BOOT", write_settings(name, content))
         .env_remove("RUST_LOG");
     command
         .stdin(Stdio::null())
@@ -54,14 +58,14 @@
     thread::spawn(move || {
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
             let line: Value = serde_json::from_str(&line).expect("logs are JSON lines");
-            let is_last = !read
+            let is_last = !reads_log
                 && line["message"]
                     .as_str()
                     .is_some_and(|m| m.ends_with("listens"));
             if tx.send(line).is_err() {
                 return;
             }
-            // A reader that stops: the pipe stays open and fills up.
+            // The reader stops here without closing the pipe, which fills up.
             if is_last {
                 loop {
                     thread::sleep(HANG);
@@ -82,7 +86,7 @@
     process
 }
 
-/// Starts an entry.
+/// Starts an entry and waits until it listens.
 pub fn entry(name: &str, store: SocketAddr) -> Process {
     start(ENTRY, name, &entry_settings(name, store), true)
 }
@@ -97,14 +101,14 @@
         "metrics": any_port(), "store": store, "stop_within_s": 6})
 }
 
-/// Starts an agent beside a backend server in a failure domain.
+/// Starts an agent in a failure domain, beside the backend server at `backend`.
 pub fn agent_in(domain: &str, name: &str, store: SocketAddr, backend: SocketAddr) -> Process {
     let content = json!({"name": name, "failure_domain": domain, "announce": any_port(), "backend": backend,
         "links": any_port(), "metrics": any_port(), "store": store, "stop_within_s": 6});
     start(AGENT, name, &content, true)
 }
 
-/// Kills an agent and starts it anew, where entries look for it.
+/// Kills an agent and starts it again with the same link address, where entries expect it.
 pub fn restart_agent(
     before: &mut Process,
     domain: &str,
@@ -121,15 +125,15 @@
 }
 
 impl Process {
-    /// A bound address, by the name that the log gives it.
+    /// Returns a bound address, by its name in the log.
     pub fn addr(&self, name: &str) -> String {
         self.listens[name]
             .as_str()
-            .expect("the address is told")
+            .expect("the log has the address")
             .to_owned()
     }
 
-    /// Waits for a log line.
+    /// Waits for a log line that `is_wanted` accepts, and returns it; drops the lines before it.
     pub fn wait_for_line(&self, is_wanted: impl Fn(&Value) -> bool) -> Value {
         let until = Instant::now() + HANG;
         loop {
@@ -148,7 +152,7 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Waits until the process has ended by itself; tells whether it ended well.
+    /// Waits until the process has ended by itself; returns whether it ended with success.
     pub fn wait_until_ended(&mut self) -> bool {
         let until = Instant::now() + HANG;
         while Instant::now() < until {
--- a/tests/users_platform/standins.rs
+++ b/tests/users_platform/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the users' platform, by its pages: the store, and a worker that runs tasks.
+//! Stand-ins for the users' platform, as its documentation describes it: the store, and a worker that runs tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -22,11 +22,13 @@
     idle_timeout: Duration::from_secs(60),
 };
 
+/// The loopback address with a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-async fn body(req: Request<Incoming>) -> Value {
+/// Reads and decodes the body of a request; null where it isn't JSON.
+async fn read_json(req: Request<Incoming>) -> Value {
     let bytes = req.into_body().collect().await.map(|body| body.to_bytes());
     bytes
         .ok()
@@ -34,6 +36,7 @@
         .unwrap_or(Value::Null)
 }
 
+/// Returns the parameters in the query of a request's URI.
 fn query(req: &Request<Incoming>) -> HashMap<String, String> {
     let pairs = req.uri().query().unwrap_or_default().split('&');
     let pairs = pairs.filter_map(|pair| pair.split_once('='));
@@ -42,29 +45,33 @@
         .collect()
 }
 
-/// The store: rows of tables, with versions and a feed.
+/// A stand-in for the store: rows of tables with versions, and watches of changes.
 #[derive(Clone)]
 pub struct Store {
     pub addr: SocketAddr,
     state: Arc<Mutex<Rows>>,
-    away: Arc<AtomicBool>,
-    /// How long each answer takes, in milliseconds.
-    slow_ms: Arc<AtomicU64>,
+    /// Whether every request is answered with status 503.
+    unavailable: Arc<AtomicBool>,
+    /// How long each answer is delayed, in milliseconds.
+    delay_ms: Arc<AtomicU64>,
 }
 
-/// Rows by table, part and key: the value, and the version.
-type Keyed = BTreeMap<RowKey, (String, u64)>;
+/// The value and the version of each row.
+type RowsByKey = BTreeMap<RowKey, (String, u64)>;
 
+/// Table, part and key.
 type RowKey = (String, String, String);
 
 #[derive(Default)]
 struct Rows {
-    rows: Keyed,
-    /// Rows that were removed, and at which version.
-    gone: BTreeMap<RowKey, u64>,
+    rows: RowsByKey,
+    /// Versions at which rows were removed.
+    removed: BTreeMap<RowKey, u64>,
+    /// The newest version.
     version: u64,
+    /// The oldest version from which a watch can start.
     oldest: u64,
-    /// Rows that answers held, by table.
+    /// Number of rows in all answers so far, by table.
     served: BTreeMap<String, usize>,
 }
 
@@ -72,23 +79,23 @@
     fn remove(&mut self, key: RowKey) {
         self.version += 1;
         self.rows.remove(&key);
-        self.gone.insert(key, self.version);
+        self.removed.insert(key, self.version);
     }
 }
 
 impl Store {
     pub async fn open() -> Store {
         let state: Arc<Mutex<Rows>> = Arc::default();
-        let away: Arc<AtomicBool> = Arc::default();
-        let slow_ms: Arc<AtomicU64> = Arc::default();
-        let (rows, gone, slow) = (state.clone(), away.clone(), slow_ms.clone());
+        let unavailable: Arc<AtomicBool> = Arc::default();
+        let delay_ms: Arc<AtomicU64> = Arc::default();
+        let (rows, down, delay) = (state.clone(), unavailable.clone(), delay_ms.clone());
         let began = Instant::now();
         let answer = move |req| {
-            let (rows, gone) = (rows.clone(), gone.clone());
-            let slow = Duration::from_millis(slow.load(Ordering::SeqCst));
+            let (rows, down) = (rows.clone(), down.clone());
+            let delay = Duration::from_millis(delay.load(Ordering::SeqCst));
             async move {
-                tokio::time::sleep(slow).await;
-                if gone.load(Ordering::SeqCst) {
+                tokio::time::sleep(delay).await;
+                if down.load(Ordering::SeqCst) {
                     return http::empty(503);
                 }
                 serve(&rows, req, began).await
@@ -100,12 +107,12 @@
         Store {
             addr,
             state,
-            away,
-            slow_ms,
+            unavailable,
+            delay_ms,
         }
     }
 
-    /// The operator writes a configuration.
+    /// Writes a configuration, as an operator does.
     pub fn configure(&self, version: u64, routes: &[Value]) {
         let config = json!({
             "version": version,
@@ -122,7 +129,7 @@
             .insert(("op".into(), String::new(), "config".into()), row);
     }
 
-    /// The operator evacuates a failure domain.
+    /// Evacuates a failure domain, as an operator does.
     pub fn evacuate(&self, domain: &str) {
         let mut state = mutex::lock(&self.state);
         state.version += 1;
@@ -131,21 +138,21 @@
         state.rows.insert(key, row);
     }
 
-    /// The operator takes an evacuated failure domain back.
+    /// Takes an evacuated failure domain back, as an operator does.
     pub fn take_back(&self, domain: &str) {
         let key = ("op".into(), String::new(), format!("evacuate/{domain}"));
         mutex::lock(&self.state).remove(key);
     }
 
-    /// Drops the history: watches from before hear that it is gone.
+    /// Drops the history: watches from earlier versions are answered with status 410.
     pub fn compact(&self) {
         let mut state = mutex::lock(&self.state);
         state.version += 1;
         state.oldest = state.version;
-        state.gone.clear();
+        state.removed.clear();
     }
 
-    /// Waits until somebody has written into a table.
+    /// Waits until a table has a row.
     pub async fn wait_for_rows(&self, table: &str) {
         while !mutex::lock(&self.state)
             .rows
@@ -156,31 +163,34 @@
         }
     }
 
-    /// How many rows of a table answers have held so far.
+    /// Returns the number of rows of a table in all answers so far.
     pub fn rows_served(&self, table: &str) -> usize {
         let state = mutex::lock(&self.state);
         state.served.get(table).copied().unwrap_or(0)
     }
 
-    pub fn set_slow(&self, long: Duration) {
-        self.slow_ms
-            .store(long.as_millis() as u64, Ordering::SeqCst);
+    /// Delays each answer from now on.
+    pub fn set_delay(&self, delay: Duration) {
+        self.delay_ms
+            .store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
-    pub fn set_unavailable(&self, away: bool) {
-        self.away.store(away, Ordering::SeqCst);
+    /// Sets whether every request is answered with status 503.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.unavailable.store(unavailable, Ordering::SeqCst);
     }
 }
 
+/// Answers one request to the store.
 async fn serve(state: &Mutex<Rows>, req: Request<Incoming>, began: Instant) -> Reply {
     let now_ms = began.elapsed().as_millis() as u64;
-    let asked = query(&req);
-    let text = |name: &str| asked.get(name).cloned().unwrap_or_default();
+    let params = query(&req);
+    let text = |name: &str| params.get(name).cloned().unwrap_or_default();
     match req.uri().path() {
         "/-/rows-get" => {
             let mut state = mutex::lock(state);
             let (table, from) = (text("table"), text("from"));
-            let to = asked.get("to").cloned();
+            let to = params.get("to").cloned();
             let part = text("part");
             let rows = state.rows.iter().filter(|((of, within, key), _)| {
                 *of == table
@@ -222,9 +232,9 @@
                         .iter()
                         .filter(|((of, ..), (_, ver))| *of == table && *ver > after);
                     let mut rows: Vec<Value> = rows.map(row).collect();
-                    let gone = state.gone.iter();
-                    let gone = gone.filter(|((of, ..), ver)| *of == table && **ver > after);
-                    rows.extend(gone.map(tombstone));
+                    let removed = state.removed.iter();
+                    let removed = removed.filter(|((of, ..), ver)| *of == table && **ver > after);
+                    rows.extend(removed.map(tombstone));
                     if !rows.is_empty() || Instant::now() >= until {
                         *state.served.entry(table).or_default() += rows.len();
                         return http::json(
@@ -237,7 +247,7 @@
             }
         }
         "/-/rows-tx" => {
-            let change = body(req).await;
+            let change = read_json(req).await;
             let mut state = mutex::lock(state);
             state.version += 1;
             let version = state.version;
@@ -265,53 +275,60 @@
     json!({"table": table, "part": part, "key": key, "ver": ver, "tombstone": true})
 }
 
-/// One run that a worker had.
+/// One run on a worker.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     pub task: String,
     pub began: Instant,
     pub ended: Option<Instant>,
+    /// How the run ended; empty while it runs.
     pub how: &'static str,
 }
 
+/// The state of a worker.
 #[derive(Default)]
 struct Work {
+    /// Start and duration of each running task, by task and run.
     running: BTreeMap<(String, u64), (Instant, Duration)>,
+    /// Number, task, run and outcome of each ended run that isn't acknowledged.
     finished: Vec<(u64, String, u64, &'static str)>,
+    /// The number of the last ended run.
     number: u64,
+    /// The largest fencing token in an order.
     token: u64,
+    /// The end of the lease, by the worker's clock in milliseconds.
     lease: u64,
-    log: Vec<RunRecord>,
-    life: Life,
+    runs: Vec<RunRecord>,
+    incarnation: Incarnation,
 }
 
-/// One life of a worker: what counts anew when it comes back under its id.
+/// One incarnation of a worker: the state that starts afresh when the worker restarts under the same id.
 #[derive(Clone, Copy)]
-struct Life {
-    /// The millisecond of its start, by a time of day that may have been set back meanwhile.
+struct Incarnation {
+    /// When it started, in milliseconds since 1970. The time of day may have been set back since the last incarnation.
     born: u64,
     began: Instant,
-    /// What its clock showed then.
+    /// The worker's clock at the start, in milliseconds.
     first_ms: u64,
     /// The number of its last heartbeat.
     seq: u64,
     leaving: bool,
 }
 
-impl Default for Life {
-    fn default() -> Life {
-        Life {
+impl Default for Incarnation {
+    fn default() -> Incarnation {
+        Incarnation {
             born: 1_790_000_000_000,
             began: Instant::now(),
             first_ms: 1_000_000,
-            // So many that a next life's stay below them for as long as a test takes.
+            // The next incarnation counts from 0 and stays below this number for as long as a test takes.
             seq: 1_000_000,
             leaving: false,
         }
     }
 }
 
-/// A worker beside an agent: runs each task for as many milliseconds as its input says.
+/// A stand-in for a worker beside an agent. It runs each task for as many milliseconds as its input says.
 #[derive(Clone)]
 pub struct Worker {
     pub addr: SocketAddr,
@@ -326,83 +343,89 @@
             id: id.into(),
             work: Arc::default(),
         };
-        let serving = worker.clone();
+        let answering = worker.clone();
         let answer = move |req| {
-            let worker = serving.clone();
+            let worker = answering.clone();
             async move { worker.answer(req).await }
         };
         let addr = http::bind(any_port(), || LIMITS, answer)
             .await
             .expect("a free port");
-        let settling = worker.clone();
+        let ending = worker.clone();
         tokio::spawn(async move {
             loop {
-                settling.settle();
+                ending.end_due_runs();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
         Worker { addr, ..worker }
     }
 
-    /// Announces itself to an agent from now on.
+    /// Sends heartbeats to an agent from now on.
     pub fn announce(&self, agent: String, client: Client) {
         let worker = self.clone();
         tokio::spawn(async move {
             loop {
                 let uri = format!("http://{agent}/-/instances/{}/heartbeat", worker.id);
-                let life = {
-                    let life = &mut mutex::lock(&worker.work).life;
-                    life.seq += 1;
-                    *life
+                let incarnation = {
+                    let incarnation = &mut mutex::lock(&worker.work).incarnation;
+                    incarnation.seq += 1;
+                    *incarnation
                 };
-                let state = if life.leaving { "draining" } else { "ready" };
-                let beat = json!({"service": "svc", "addr": worker.addr.to_string(), "zone": "z",
-                    "version": "v1", "slots": 8, "state": state, "born": life.born,
-                    "cold_left_ms": 0, "labels": ["a", "r1-1"], "seq": life.seq,
+                let state = if incarnation.leaving {
+                    "draining"
+                } else {
+                    "ready"
+                };
+                let heartbeat = json!({"service": "svc", "addr": worker.addr.to_string(), "zone": "z",
+                    "version": "v1", "slots": 8, "state": state, "born": incarnation.born,
+                    "cold_left_ms": 0, "labels": ["a", "r1-1"], "seq": incarnation.seq,
                     "capacity": {"cpu": 8000, "mem_mb": 8000, "gpu": 0}});
-                let call = Call::new(Method::POST, uri, beat.to_string());
-                // The agent may be away for a while.
+                let call = Call::new(Method::POST, uri, heartbeat.to_string());
+                // The agent may be unreachable for a while.
                 let _ = client.call(call, Duration::from_secs(1)).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         });
     }
 
+    /// Announces from now on that the worker takes no new work.
     pub fn leave(&self) {
-        mutex::lock(&self.work).life.leaving = true;
+        mutex::lock(&self.work).incarnation.leaving = true;
     }
 
-    /// Crashes and is back at once under its id: it runs and knows nothing, and counts anew, its clock
-    /// from `first_ms`. The time of day was set back meanwhile.
+    /// Crashes and restarts at once under the same id. The new incarnation has no runs; its heartbeats count from 0 and
+    /// its clock from `first_ms`. The time of day was set back meanwhile.
     pub fn restart(&self, first_ms: u64) {
         let mut work = mutex::lock(&self.work);
-        for ran in work.log.iter_mut().filter(|ran| ran.ended.is_none()) {
-            ran.ended = Some(Instant::now());
-            ran.how = "crashed";
+        for run in work.runs.iter_mut().filter(|run| run.ended.is_none()) {
+            run.ended = Some(Instant::now());
+            run.how = "crashed";
         }
-        let life = Life {
-            born: work.life.born - 1,
+        let incarnation = Incarnation {
+            born: work.incarnation.born - 1,
             first_ms,
             seq: 0,
-            ..Life::default()
+            ..Incarnation::default()
         };
         *work = Work {
-            log: std::mem::take(&mut work.log),
-            life,
+            runs: std::mem::take(&mut work.runs),
+            incarnation,
             ..Work::default()
         };
     }
 
-    /// Every run so far.
+    /// Returns every run so far, of all incarnations.
     pub fn runs(&self) -> Vec<RunRecord> {
-        mutex::lock(&self.work).log.clone()
+        mutex::lock(&self.work).runs.clone()
     }
 
     fn clock_ms(&self) -> u64 {
         mutex::lock(&self.work).clock_ms()
     }
 
-    fn settle(&self) {
+    /// Ends the runs whose time is over, and all runs once the lease has expired.
+    fn end_due_runs(&self) {
         let mut work = mutex::lock(&self.work);
         let now = work.clock_ms();
         let lapsed = now > work.lease;
@@ -416,14 +439,15 @@
         }
     }
 
+    /// Answers one order of the agent.
     async fn answer(self, req: Request<Incoming>) -> Reply {
-        let meant = req.headers().get("x-lovagemill-expect-instance").cloned();
-        if meant.is_some_and(|meant| meant != self.id.as_str()) {
+        let expected = req.headers().get("x-lovagemill-expect-instance").cloned();
+        if expected.is_some_and(|expected| expected != self.id.as_str()) {
             return http::empty(421);
         }
         let path = req.uri().path().to_owned();
-        let order = body(req).await;
-        self.settle();
+        let order = read_json(req).await;
+        self.end_due_runs();
         let token = order["fencing_token"].as_u64().unwrap_or(0);
         {
             let mut work = mutex::lock(&self.work);
@@ -451,7 +475,7 @@
         }
     }
 
-    /// An input of `crash` crashes the worker shortly after its start.
+    /// Starts a run. The input `crash` crashes the worker shortly after the start.
     fn start(&self, key: (String, u64), order: &Value) -> Reply {
         if order["spec"] == "crash" {
             let worker = self.clone();
@@ -469,7 +493,7 @@
             .and_then(|text| text.parse().ok())
             .unwrap_or(1_000);
         let mut work = mutex::lock(&self.work);
-        work.log.push(RunRecord {
+        work.runs.push(RunRecord {
             task: key.0.clone(),
             began: Instant::now(),
             ended: None,
@@ -480,6 +504,7 @@
         http::json(200, &json!({"clock_ms": now}))
     }
 
+    /// Answers a listing call: waits until a run has ended or the call's wait is over.
     async fn hold(&self, order: &Value) -> Reply {
         let acknowledged = order["ack_cursor"].as_u64().unwrap_or(0);
         mutex::lock(&self.work)
@@ -488,7 +513,7 @@
         let until = Instant::now() + Duration::from_millis(order["wait_ms"].as_u64().unwrap_or(0));
         while mutex::lock(&self.work).finished.is_empty() && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            self.settle();
+            self.end_due_runs();
         }
         let work = mutex::lock(&self.work);
         let running: Vec<Value> = work
@@ -503,7 +528,7 @@
         let finished: Vec<Value> = finished.collect();
         http::json(
             200,
-            &json!({"clock_ms": work.clock_ms(), "born": work.life.born, "running": running,
+            &json!({"clock_ms": work.clock_ms(), "born": work.incarnation.born, "running": running,
                 "finished": finished}),
         )
     }
@@ -511,19 +536,20 @@
 
 impl Work {
     fn clock_ms(&self) -> u64 {
-        self.life.first_ms + self.life.began.elapsed().as_millis() as u64
+        self.incarnation.first_ms + self.incarnation.began.elapsed().as_millis() as u64
     }
 
+    /// Ends a run, unless it has ended already.
     fn end(&mut self, key: &(String, u64), how: &'static str) {
         if self.running.remove(key).is_none() {
             return;
         }
         self.number += 1;
         self.finished.push((self.number, key.0.clone(), key.1, how));
-        let mut log = self.log.iter_mut().rev();
-        if let Some(ran) = log.find(|ran| ran.task == key.0 && ran.ended.is_none()) {
-            ran.ended = Some(Instant::now());
-            ran.how = how;
+        let mut runs = self.runs.iter_mut().rev();
+        if let Some(run) = runs.find(|run| run.task == key.0 && run.ended.is_none()) {
+            run.ended = Some(Instant::now());
+            run.how = how;
         }
     }
 }
