--- a/src/decide/besteffort/board/agents.rs
+++ b/src/decide/besteffort/board/agents.rs
@@ -34,15 +34,16 @@
             self.links.remove(&old);
             self.actions.push(Action::Close(old));
         }
-        let (agent, life) = (hello.agent.clone(), hello.incarnation);
-        log::info!(agent = agent.as_str(), life = life, runs = hello.runs.len(); "agent is there");
+        let (agent, incarnation) = (hello.agent.clone(), hello.incarnation);
+        log::info!(agent = agent.as_str(), life = incarnation, runs = hello.runs.len(); "agent is there");
         let view = self.agents.entry(agent.clone());
-        let view =
-            view.or_insert_with(|| AgentView::open(self.policy.barring, agent.clone(), life, now));
-        if view.incarnation != life {
+        let view = view.or_insert_with(|| {
+            AgentView::open(self.policy.barring, agent.clone(), incarnation, now)
+        });
+        if view.incarnation != incarnation {
             // The backend server that an earlier incarnation of the agent announced may be unknown to this
             // one. Starts would go to it and come back one after the other.
-            *view = AgentView::open(self.policy.barring, agent.clone(), life, now);
+            *view = AgentView::open(self.policy.barring, agent.clone(), incarnation, now);
         }
         view.failure_domain = hello.failure_domain.clone();
         view.link_opened(link, now);
@@ -50,8 +51,8 @@
         self.last_linked_at = Some(now);
         self.links.insert(link, agent.clone());
         self.runs_ended(now, &hello.ended);
-        let here: BTreeSet<&Run> = hello.runs.iter().collect();
-        self.requeue_missing_runs(now, &agent, |run| here.contains(run));
+        let kept_runs: BTreeSet<&Run> = hello.runs.iter().collect();
+        self.requeue_missing_runs(now, &agent, |run| kept_runs.contains(run));
         for run in &hello.runs {
             if self.placed_run(run, &agent).is_none() {
                 self.actions.push(Action::Stop(link, run.clone()));
@@ -62,13 +63,13 @@
     /// Whether the entry has been linked to its agents after its start: no new link has come up for a moment.
     /// Before that the entry knows too little of the room, and would refuse work that the next agent accepts.
     pub fn has_found_agents(&self, now: time::Duration) -> bool {
-        let longest = self
+        let has_waited_long = self
             .first_tick_at
             .is_some_and(|born| now > born + MAX_LINKS_WAIT);
-        let quiet = self
+        let is_quiet = self
             .last_linked_at
             .is_some_and(|last| now > last + LINKS_QUIET_FOR);
-        longest || quiet
+        has_waited_long || is_quiet
     }
 
     /// Requeues the tasks whose runs an agent no longer has; `is_there` tells which it still has.
@@ -78,44 +79,44 @@
         agent: &str,
         is_there: impl Fn(&Run) -> bool,
     ) {
-        let mut gone = Vec::new();
+        let mut missing = Vec::new();
         for (no, job) in &self.jobs {
             let runs = job
                 .placed_runs()
                 .filter(|(_, placed)| placed.agent == agent);
             let lost = runs.filter(|(run, _)| !is_there(run));
-            gone.extend(lost.map(|(run, _)| (*no, run)));
+            missing.extend(lost.map(|(run, _)| (*no, run)));
         }
-        let here = gone.len() as u32;
-        for (no, run) in gone {
+        let missing_count = missing.len() as u32;
+        for (no, run) in missing {
             self.counts.lost_runs += 1;
             self.requeue_task(now, no, run.task);
         }
         if let Some(view) = self.agents.get_mut(agent) {
-            view.runs_ended(here);
+            view.runs_ended(missing_count);
         }
     }
 
     /// Takes in a message of an agent.
-    pub fn handle_message(&mut self, now: time::Duration, link: LinkNo, line: &AgentMessage) {
+    pub fn handle_message(&mut self, now: time::Duration, link: LinkNo, message: &AgentMessage) {
         let Some(agent) = self.links.get(&link).cloned() else {
             return;
         };
         if let Some(view) = self.agents.get_mut(&agent) {
             let before = view.backend.incarnation.clone();
-            let took = view.is_in_service();
-            view.update(now, line);
+            let was_in_service = view.is_in_service();
+            view.update(now, message);
             if view.backend.incarnation != before {
                 self.run_times.forget_agent(&agent);
             }
-            if view.is_in_service() != took {
+            if view.is_in_service() != was_in_service {
                 log::info!(agent = agent.as_str(), takes_work = view.is_in_service(),
                     instance = view.backend.incarnation.id.as_str(), born_ms = view.backend.incarnation.born_ms; "agent changed its mind about new work");
             }
         }
-        self.record_crashes(now, &agent, &line.crashes);
-        self.runs_ended(now, &line.ended);
-        for progress in &line.progress {
+        self.record_crashes(now, &agent, &message.crashes);
+        self.runs_ended(now, &message.ended);
+        for progress in &message.progress {
             self.record_progress(now, &agent, progress);
         }
         self.resume_parked_jobs(now);
@@ -128,11 +129,11 @@
     /// Records crashes of an agent's backend server. A job with a task that was present each time fails
     /// before the task can go to another backend server.
     fn record_crashes(&mut self, now: time::Duration, agent: &str, crashes: &[Crash]) {
-        let Some(life) = self.agents.get(agent).map(|view| view.incarnation) else {
+        let Some(incarnation) = self.agents.get(agent).map(|view| view.incarnation) else {
             return;
         };
         for crash in crashes {
-            self.crashes.record(now, agent, life, crash);
+            self.crashes.record(now, agent, incarnation, crash);
         }
         self.fail_crashing_jobs(now, crashes);
     }
@@ -315,10 +316,11 @@
     /// Forgets agents that have been without a link for so long that nothing runs there, and requeues the
     /// tasks that they had.
     pub(super) fn drop_abandoned_agents(&mut self, now: time::Duration) {
-        let away = self.agents.values().filter(|view| view.link.is_none());
-        let over = away.filter(|v| now.saturating_sub(v.heard_at) > self.bounds.runs_end_within());
-        let over: Vec<id::AgentId> = over.map(|view| view.agent.clone()).collect();
-        for agent in over {
+        let unlinked = self.agents.values().filter(|view| view.link.is_none());
+        let abandoned =
+            unlinked.filter(|v| now.saturating_sub(v.heard_at) > self.bounds.runs_end_within());
+        let abandoned: Vec<id::AgentId> = abandoned.map(|view| view.agent.clone()).collect();
+        for agent in abandoned {
             self.requeue_missing_runs(now, &agent, |_| false);
             self.agents.remove(&agent);
             self.run_times.forget_agent(&agent);
--- a/src/decide/besteffort/board/endings.rs
+++ b/src/decide/besteffort/board/endings.rs
@@ -24,10 +24,10 @@
         self.give_up_jobs(now, |_| true);
     }
 
-    pub(super) fn give_up_jobs(&mut self, now: time::Duration, is_lost: impl Fn(&Job) -> bool) {
-        let lost = self.jobs.iter().filter(|(_, job)| is_lost(job));
-        let lost: Vec<JobNo> = lost.map(|(no, _)| *no).collect();
-        for no in lost {
+    pub(super) fn give_up_jobs(&mut self, now: time::Duration, is_given_up: impl Fn(&Job) -> bool) {
+        let given_up = self.jobs.iter().filter(|(_, job)| is_given_up(job));
+        let given_up: Vec<JobNo> = given_up.map(|(no, _)| *no).collect();
+        for no in given_up {
             self.finish_job(now, no, Outcome::GaveUp);
         }
     }
@@ -40,12 +40,12 @@
         let outcome = match outcome {
             Outcome::GaveUp if job.starts_sent == 0 => {
                 let is_served = self.suitable_agents(&job).next().is_some();
-                let why = if is_served {
+                let reason = if is_served {
                     NotRunReason::Overloaded
                 } else {
                     NotRunReason::NoWorker
                 };
-                Outcome::NotRun(why, RETRY_AFTER)
+                Outcome::NotRun(reason, RETRY_AFTER)
             }
             other => other,
         };
@@ -78,9 +78,9 @@
     }
 
     pub(super) fn forget_old_answers(&mut self, now: time::Duration) {
-        let old = |at: time::Duration| now.saturating_sub(at) > KEEP_ANSWERS_FOR;
+        let is_old = |at: time::Duration| now.saturating_sub(at) > KEEP_ANSWERS_FOR;
         while let Some((at, _)) = self.answers_by_age.front() {
-            if !old(*at) && self.answers_by_age.len() <= MAX_KEPT_ANSWERS {
+            if !is_old(*at) && self.answers_by_age.len() <= MAX_KEPT_ANSWERS {
                 break;
             }
             if let Some((_, job)) = self.answers_by_age.pop_front() {
@@ -103,25 +103,25 @@
             let labels = [("class", job.submission.class.as_str())];
             self.counts.wait_seconds.observe(&labels, waited);
         }
-        let why = match outcome {
-            Outcome::NotRun(why, _) => why.name(),
+        let reason = match outcome {
+            Outcome::NotRun(reason, _) => reason.name(),
             _ => "",
         };
-        if !why.is_empty() {
-            let key = (job.submission.class.clone(), why);
+        if !reason.is_empty() {
+            let key = (job.submission.class.clone(), reason);
             *self.counts.refused.entry(key).or_default() += 1;
         }
         let failed: u32 = job.tasks.iter().map(|task: &Task| task.failed_runs).sum();
         let ms = |d: time::Duration| d.as_millis() as u64;
-        let places = if now > job.latest_start + job.estimate.mul_f64(LOG_AGENTS_AFTER)
+        let agents = if now > job.latest_start + job.estimate.mul_f64(LOG_AGENTS_AFTER)
             || failed + job.moved_runs > 0
         {
             job.agent_names()
         } else {
             CompactString::default()
         };
-        log::info!(job = job.submission.job.as_str(), class = job.submission.class.as_str(), places = places.as_str(),
-            outcome = outcome.name(), why = why, tasks = job.submission.tasks, starts = job.starts_sent,
+        log::info!(job = job.submission.job.as_str(), class = job.submission.class.as_str(), places = agents.as_str(),
+            outcome = outcome.name(), why = reason, tasks = job.submission.tasks, starts = job.starts_sent,
             failed = failed, moved = job.moved_runs, estimate_ms = ms(job.estimate),
             slack_ms = ms(job.latest_start.saturating_sub(job.arrived_at)), waited_ms = ms(waited), took_ms = ms(took),
             queued = self.queue.len(), agents = self.agents.len(); "job answered");
--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -192,18 +192,20 @@
 
     /// Accepts a submission as a job, or answers it at once: with its earlier answer, or with a refusal where
     /// it can't be served.
-    pub fn submit(&mut self, now: time::Duration, ask: Submission) -> SubmitResult {
-        if let Some(no) = self.by_id.get(&ask.job) {
+    pub fn submit(&mut self, now: time::Duration, submission: Submission) -> SubmitResult {
+        if let Some(no) = self.by_id.get(&submission.job) {
             return SubmitResult::Job(*no);
         }
-        if let Some(outcome) = self.answers.get(&ask.job) {
+        if let Some(outcome) = self.answers.get(&submission.job) {
             return SubmitResult::Answered(outcome.clone());
         }
-        let estimate = self.run_times.estimate(&ask.class, ask.declared_run_time);
-        let waited = self
+        let estimate = self
+            .run_times
+            .estimate(&submission.class, submission.declared_run_time);
+        let earlier_wait = self
             .earlier_waits
-            .earlier_wait(&ask.class, ask.wait_shortfall);
-        let job = Job::open(ask, now, estimate, waited);
+            .earlier_wait(&submission.class, submission.wait_shortfall);
+        let job = Job::open(submission, now, estimate, earlier_wait);
         if let Some(task) = self.crashes.cause_in(&job.submission.job) {
             self.log_crashing_job(&job, task);
             self.record_answer(now, &job, &Outcome::Failed);
@@ -212,9 +214,9 @@
         let no = self.last_job_no + 1;
         let is_parked = self.park_job(now, no, &job);
         if !is_parked {
-            if let Some((why, back)) = self.refusal(now, &job) {
-                self.record_answer(now, &job, &Outcome::NotRun(why, back));
-                return SubmitResult::Answered(Outcome::NotRun(why, back));
+            if let Some((reason, retry_after)) = self.refusal(now, &job) {
+                self.record_answer(now, &job, &Outcome::NotRun(reason, retry_after));
+                return SubmitResult::Answered(Outcome::NotRun(reason, retry_after));
             }
         }
         self.last_job_no = no;
@@ -241,41 +243,42 @@
         let Some(job) = self.jobs.get(&no) else {
             return;
         };
-        if let Some((why, back)) = self.refusal(now, job) {
-            self.finish_job(now, no, Outcome::NotRun(why, back));
+        if let Some((reason, retry_after)) = self.refusal(now, job) {
+            self.finish_job(now, no, Outcome::NotRun(reason, retry_after));
         } else if let Some(job) = self.jobs.remove(&no) {
             self.queue_tasks(now, no, job);
         }
     }
 
     fn refusal(&self, now: time::Duration, job: &Job) -> Option<(NotRunReason, time::Duration)> {
-        let mut there = self.agents.values().filter(|v| v.is_in_service());
-        if self.has_found_agents(now) && !there.any(|v| v.backend.service == job.submission.service)
+        let mut in_service = self.agents.values().filter(|v| v.is_in_service());
+        if self.has_found_agents(now)
+            && !in_service.any(|v| v.backend.service == job.submission.service)
         {
             return Some((NotRunReason::NoWorker, RETRY_AFTER));
         }
         if self.has_found_agents(now) && self.large_enough_agents(job).next().is_none() {
-            let held_before = self
+            let fitted_before = self
                 .suitable_agents(job)
                 .any(|v| v.largest_size.fits(&job.submission.need));
-            let why = if held_before {
+            let reason = if fitted_before {
                 NotRunReason::Shrunk
             } else {
                 NotRunReason::NoFit
             };
-            return Some((why, RETRY_AFTER));
+            return Some((reason, RETRY_AFTER));
         }
         let forecast = self.forecast_wait(now, job);
         let wait = forecast.wait;
-        let end = now + wait + job.estimate;
-        if self.stop_by.is_some_and(|by| end + job.estimate > by) {
+        let ends_at = now + wait + job.estimate;
+        if self.stop_by.is_some_and(|by| ends_at + job.estimate > by) {
             return Some((NotRunReason::Stopping, RETRY_AFTER));
         }
         let slack = job.latest_start.saturating_sub(now);
-        let late = end > job.submission.deadline
+        let is_late = ends_at > job.submission.deadline
             || wait > slack.mul_f64(self.policy.admission.max_slack_used);
-        let hopeless = now + job.estimate > job.submission.deadline;
-        if hopeless || (late && self.has_found_agents(now)) {
+        let is_hopeless = now + job.estimate > job.submission.deadline;
+        if is_hopeless || (is_late && self.has_found_agents(now)) {
             log::info!(job = job.submission.job.as_str(), wait_ms = wait.as_millis() as u64,
                 slack_ms = slack.as_millis() as u64, ahead = forecast.room_ahead as u64,
                 rate = forecast.room_rate as u64, room = forecast.fitting_tasks; "job would be late");
--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -43,8 +43,8 @@
         &'a self,
         job: &'a Job,
     ) -> impl Iterator<Item = &'a AgentView> {
-        let there = self.agents.values().filter(|view| view.is_in_service());
-        there.filter(|view| Board::is_suitable(job, view))
+        let in_service = self.agents.values().filter(|view| view.is_in_service());
+        in_service.filter(|view| Board::is_suitable(job, view))
     }
 
     /// Returns the suitable agents whose backend servers, when idle, are large enough for a task of the job.
@@ -57,9 +57,10 @@
     }
 
     fn is_suitable(job: &Job, view: &AgentView) -> bool {
-        let ask = &job.submission;
-        let labelled = |label: &CompactString| view.backend.labels.contains(label);
-        view.backend.service == ask.service && ask.required_label.as_ref().is_none_or(labelled)
+        let submission = &job.submission;
+        let has_label = |label: &CompactString| view.backend.labels.contains(label);
+        view.backend.service == submission.service
+            && submission.required_label.as_ref().is_none_or(has_label)
     }
 
     /// Forecasts how long a new job waits until all its tasks have room, from the room that work ahead of it
@@ -71,10 +72,10 @@
             share += rate / f64::from(view.competing_entries);
             free += view.free().cpu.max(0) / job.submission.need.cpu.max(1);
         }
-        let own = job.queue_key(JobNo::MAX, 0);
+        let key = job.queue_key(JobNo::MAX, 0);
         let room_ahead: f64 = self
             .queue
-            .range(..own)
+            .range(..key)
             .filter_map(|(.., no, _)| self.jobs.get(no))
             .map(|other| other.submission.need.cpu as f64)
             .sum();
@@ -87,17 +88,17 @@
         if room_ahead == 0.0 && free > 0 {
             return forecast;
         }
-        let long = self.flow.mean_run_seconds(now, job.estimate.as_secs_f64());
+        let mean_seconds = self.flow.mean_run_seconds(now, job.estimate.as_secs_f64());
         let share = share * self.reach_factor(now);
-        let rate = share * self.policy.admission.min_share / long.max(MIN_RUN_SECONDS);
+        let rate = share * self.policy.admission.min_share / mean_seconds.max(MIN_RUN_SECONDS);
         let rate = self.flow.start_rate(now).max(rate);
-        let urgent = self.flow.more_urgent_rate(now, job.priority);
-        forecast.room_rate = (rate - urgent)
+        let urgent_rate = self.flow.more_urgent_rate(now, job.priority);
+        forecast.room_rate = (rate - urgent_rate)
             .max(rate * self.policy.admission.min_rate_left)
             .max(1.0);
-        let all = room_ahead + job.total_room();
+        let total_room = room_ahead + job.total_room();
         forecast.wait =
-            time::Duration::from_secs_f64((all / forecast.room_rate).min(MAX_WAIT_SECONDS));
+            time::Duration::from_secs_f64((total_room / forecast.room_rate).min(MAX_WAIT_SECONDS));
         forecast
     }
 
@@ -111,9 +112,9 @@
     }
 
     fn place_waiting_tasks(&mut self, now: time::Duration) {
-        let mut passed = 0;
+        let mut passed_over = 0;
         let mut after = None;
-        while passed < self.policy.placement.max_passed_over {
+        while passed_over < self.policy.placement.max_passed_over {
             let next = match after {
                 None => self.queue.first().copied(),
                 Some(key) => self
@@ -127,7 +128,7 @@
             };
             after = Some(key);
             if !self.place_task(now, key.2, key.3) {
-                passed += 1;
+                passed_over += 1;
             } else {
                 self.queue.remove(&key);
             }
@@ -151,9 +152,9 @@
             return true;
         };
         let suspicion = self.crashes.suspicion(&job.submission.job, index);
-        let mut patience = self.policy.placement.max_wait_at_agent;
+        let mut max_wait = self.policy.placement.max_wait_at_agent;
         if crashes::is_suspect(suspicion) {
-            patience += crashes::PROBATION;
+            max_wait += crashes::PROBATION;
         }
         view.start_sent(job.submission.need);
         let number = job.next_run_number;
@@ -176,7 +177,7 @@
             priority: job.priority,
             urgency_ms: job.latest_start.as_millis() as u64,
             deadline_ms: job.submission.deadline.as_millis() as u64,
-            patience_ms: patience.as_millis() as u64,
+            patience_ms: max_wait.as_millis() as u64,
             suspicion,
         };
         self.flow
@@ -195,13 +196,13 @@
         index: id::TaskIndex,
     ) -> Option<id::AgentId> {
         let task = &job.tasks[index as usize];
-        let open = self.candidate_agents(now, job, task);
-        let costs = open.iter().map(|(cost, _)| *cost);
-        let most = costs.min_by(f64::total_cmp)?
+        let candidates = self.candidate_agents(now, job, task);
+        let costs = candidates.iter().map(|(cost, _)| *cost);
+        let max_seconds = costs.min_by(f64::total_cmp)?
             + job.estimate.as_secs_f64() * self.policy.placement.alike_margin;
-        let alike = open.iter().filter(|(cost, _)| *cost <= most);
+        let equal = candidates.iter().filter(|(cost, _)| *cost <= max_seconds);
         let seed = draw::seed(&job.run(index, job.next_run_number));
-        let drawn = alike.map(|(_, view)| {
+        let drawn = equal.map(|(_, view)| {
             let room = view.free().cpu as f64;
             (draw::weighted_key(seed, &view.agent, room), view)
         });
@@ -218,32 +219,33 @@
     ) -> Vec<(f64, &AgentView)> {
         // A second failure on the same backend server may be the job's last, so the task waits for another
         // one.
-        let failed_at = task
+        let failed_agent = task
             .last_agent
             .as_ref()
             .filter(|_| task.failed_runs > 0 && self.has_other_agent(job));
-        let is_open = |view: &&AgentView| {
+        let is_candidate = |view: &&AgentView| {
             view.accepts_tasks(now)
                 && Board::is_suitable(job, view)
                 && self.has_room(job, view)
-                && failed_at != Some(&view.agent)
+                && failed_agent != Some(&view.agent)
                 && self.is_below_worker_limit(job, view)
         };
-        let cost = |view: &AgentView, slowness: f64| {
-            let cost = self.expected_seconds(job, view, slowness);
+        let seconds = |view: &AgentView, slowness: f64| {
+            let seconds = self.expected_seconds(job, view, slowness);
             if task.last_agent.as_ref() == Some(&view.agent) {
-                cost * self.policy.placement.same_agent_factor
+                seconds * self.policy.placement.same_agent_factor
             } else {
-                cost
+                seconds
             }
         };
-        let open = self.agents.values().filter(is_open);
-        open.filter_map(|view| {
-            let slowness = self.run_times.slowness(&view.agent);
-            let slow = self.is_too_slow(now, job, slowness);
-            (!slow).then(|| (cost(view, slowness), view))
-        })
-        .collect()
+        let candidates = self.agents.values().filter(is_candidate);
+        candidates
+            .filter_map(|view| {
+                let slowness = self.run_times.slowness(&view.agent);
+                let is_slow = self.is_too_slow(now, job, slowness);
+                (!is_slow).then(|| (seconds(view, slowness), view))
+            })
+            .collect()
     }
 
     /// Whether an agent has room for a task of the job. Late work leaves some room free, since work that can
@@ -262,13 +264,13 @@
     }
 
     fn is_below_worker_limit(&self, job: &Job, view: &AgentView) -> bool {
-        let Some(most) = job.submission.max_per_worker else {
+        let Some(max) = job.submission.max_per_worker else {
             return true;
         };
-        let here = job.tasks.iter().filter(
+        let placed_here = job.tasks.iter().filter(
             |task| matches!(&task.state, State::Placed(placed) if placed.agent == view.agent),
         );
-        (here.count() as u32) < most
+        (placed_here.count() as u32) < max
     }
 
     fn is_too_slow(&self, now: time::Duration, job: &Job, slowness: f64) -> bool {
@@ -278,14 +280,14 @@
 
     /// Returns the expected run time of a task at an agent with this slowness, in seconds.
     pub(super) fn expected_seconds(&self, job: &Job, view: &AgentView, slowness: f64) -> f64 {
-        let mut cost = job.estimate.as_secs_f64() * slowness;
+        let mut seconds = job.estimate.as_secs_f64() * slowness;
         let near = job.submission.near_label.as_ref();
         if near.is_some_and(|label| !view.backend.labels.contains(label)) {
-            cost *= self.policy.placement.far_factor;
+            seconds *= self.policy.placement.far_factor;
         }
         if view.failure_domain != self.failure_domain {
-            cost += self.policy.placement.other_domain_cost.as_secs_f64();
+            seconds += self.policy.placement.other_domain_cost.as_secs_f64();
         }
-        cost
+        seconds
     }
 }
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -27,28 +27,28 @@
 #[derive(Debug, Default)]
 pub(super) struct ExtraLinks {
     /// Whether work waits.
-    waits: bool,
+    is_waiting: bool,
     /// When links to more agents may be opened next.
-    next: time::Duration,
+    next_at: time::Duration,
     /// Whether the agents of the latest extra links had no room either.
-    is_in_vain: bool,
+    had_no_room: bool,
     /// The agents of the latest extra links.
-    asked: Vec<id::AgentId>,
+    opened: Vec<id::AgentId>,
     /// When these agents are judged even though their links aren't up.
-    judged_at: time::Duration,
+    judge_at: time::Duration,
 }
 
-fn suits(ask: &Submission, member: &ListedAgent) -> bool {
-    let labelled = |label| member.labels.contains(label);
-    member.service == ask.service
-        && ask.required_label.as_ref().is_none_or(labelled)
-        && member.size.fits(&ask.need)
+fn suits(submission: &Submission, member: &ListedAgent) -> bool {
+    let has_label = |label| member.labels.contains(label);
+    member.service == submission.service
+        && submission.required_label.as_ref().is_none_or(has_label)
+        && member.size.fits(&submission.need)
 }
 
 impl Board {
     /// Takes in that an agent is listed, or that its listing has changed.
-    pub fn list_agent(&mut self, member: ListedAgent) {
-        let change = self.subset.list_agent(member);
+    pub fn list_agent(&mut self, listed: ListedAgent) {
+        let change = self.subset.list_agent(listed);
         self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
@@ -71,10 +71,10 @@
         &mut self,
         now: time::Duration,
         agent: &str,
-        life: id::Incarnation,
+        incarnation: id::Incarnation,
         crash: &Crash,
     ) {
-        self.crashes.record(now, agent, life, crash);
+        self.crashes.record(now, agent, incarnation, crash);
         self.fail_crashing_jobs(now, std::slice::from_ref(crash));
     }
 
@@ -97,32 +97,34 @@
     pub(super) fn open_extra_links(&mut self, now: time::Duration) {
         let waiting = self.queue.first().and_then(|rank| self.jobs.get(&rank.2));
         let Some(job) = waiting.filter(|job| !job.is_late()) else {
-            self.extra_links.waits = false;
-            self.extra_links.asked.clear();
+            self.extra_links.is_waiting = false;
+            self.extra_links.opened.clear();
             return;
         };
         let policy = self.policy.subset;
-        if !self.extra_links.waits {
-            self.extra_links.waits = true;
-            self.extra_links.next = self.extra_links.next.max(now + policy.extra_pause);
+        if !self.extra_links.is_waiting {
+            self.extra_links.is_waiting = true;
+            self.extra_links.next_at = self.extra_links.next_at.max(now + policy.extra_pause);
         }
-        if now < self.extra_links.next {
+        if now < self.extra_links.next_at {
             return;
         }
         // An entry on a small VM takes a while to open links, and an agent that isn't linked yet shows
         // nothing about its room.
         let opening = |agent: &id::AgentId| self.subset.is_link_opening(agent);
-        if now < self.extra_links.judged_at && self.extra_links.asked.iter().any(opening) {
+        if now < self.extra_links.judge_at && self.extra_links.opened.iter().any(opening) {
             return;
         }
-        let asked = std::mem::take(&mut self.extra_links.asked);
-        let took = |agent: &id::AgentId| self.agents.get(agent).map_or(0, |view| view.run_count);
-        self.extra_links.is_in_vain = asked.iter().map(took).sum::<u32>() < asked.len() as u32;
-        if self.extra_links.is_in_vain {
-            self.extra_links.next = now + policy.no_room_pause;
+        let opened = std::mem::take(&mut self.extra_links.opened);
+        let run_count =
+            |agent: &id::AgentId| self.agents.get(agent).map_or(0, |view| view.run_count);
+        self.extra_links.had_no_room =
+            opened.iter().map(run_count).sum::<u32>() < opened.len() as u32;
+        if self.extra_links.had_no_room {
+            self.extra_links.next_at = now + policy.no_room_pause;
             return;
         }
-        self.extra_links.next = now + policy.extra_pause;
+        self.extra_links.next_at = now + policy.extra_pause;
         let (opening, changes) =
             self.subset
                 .open_extra_links(now, policy.extra_at_once, |member| {
@@ -132,15 +134,15 @@
             log::debug!(job = job.submission.job.as_str(), links = changes.len(), queued = self.queue.len();
                 "work waits for room; linking to more agents");
         }
-        self.extra_links.asked = opening;
-        self.extra_links.judged_at = now + policy.open_timeout;
+        self.extra_links.opened = opening;
+        self.extra_links.judge_at = now + policy.open_timeout;
         self.push_link_changes(changes);
     }
 
     /// Returns the factor by which the room of the linked agents is counted for waiting work, since links to
     /// more agents can be opened.
     pub(super) fn reach_factor(&self, now: time::Duration) -> f64 {
-        if self.extra_links.is_in_vain && now < self.extra_links.next {
+        if self.extra_links.had_no_room && now < self.extra_links.next_at {
             1.0
         } else {
             self.subset.reach_factor()
@@ -150,15 +152,17 @@
     /// Opens links for a new job where no linked agent suits it, or where none near its data has room.
     /// Returns the agents that the job had better wait for.
     fn open_links_for(&mut self, now: time::Duration, job: &Job) -> Vec<id::AgentId> {
-        let sought = self.policy.subset.links_for_job;
-        let ask = &job.submission;
+        let max = self.policy.subset.links_for_job;
+        let submission = &job.submission;
         let has_any = self.large_enough_agents(job).next().is_some();
-        let (opening, changes) = match &ask.near_label {
+        let (opening, changes) = match &submission.near_label {
             Some(near) if !self.has_room_near(job, near) => {
-                let is_near = |m: &ListedAgent| suits(ask, m) && m.labels.contains(near);
-                self.subset.open_extra_links(now, sought, is_near)
+                let is_near = |m: &ListedAgent| suits(submission, m) && m.labels.contains(near);
+                self.subset.open_extra_links(now, max, is_near)
             }
-            _ if !has_any => self.subset.open_extra_links(now, sought, |m| suits(ask, m)),
+            _ if !has_any => self
+                .subset
+                .open_extra_links(now, max, |m| suits(submission, m)),
             _ => return Vec::new(),
         };
         self.push_link_changes(changes);
@@ -166,7 +170,9 @@
             return opening;
         }
         // No agent near the data is listed, and no linked agent suits the job.
-        let (opening, changes) = self.subset.open_extra_links(now, sought, |m| suits(ask, m));
+        let (opening, changes) = self
+            .subset
+            .open_extra_links(now, max, |m| suits(submission, m));
         self.push_link_changes(changes);
         opening
     }
@@ -201,11 +207,11 @@
                     .iter()
                     .any(|agent| subset.is_link_opening(agent))
         };
-        let (waiting, over) = std::mem::take(&mut self.parked)
+        let (waiting, resumed) = std::mem::take(&mut self.parked)
             .into_iter()
             .partition(waits);
         self.parked = waiting;
-        for parked in over {
+        for parked in resumed {
             self.queue_parked_job(now, parked.no);
         }
     }
--- a/src/decide/besteffort/board/rescue.rs
+++ b/src/decide/besteffort/board/rescue.rs
@@ -45,12 +45,13 @@
             return;
         };
         let estimate = job.estimate.as_secs_f64();
-        let still = now.saturating_sub(placed.progressed_at);
-        let standing = still > self.policy.relocation.min_standstill
-            && still.as_secs_f64() / estimate * 100.0 > self.policy.relocation.min_expected_percent;
+        let stalled_for = now.saturating_sub(placed.progressed_at);
+        let is_stalled = stalled_for > self.policy.relocation.min_standstill
+            && stalled_for.as_secs_f64() / estimate * 100.0
+                > self.policy.relocation.min_expected_percent;
         let percent = f64::from(placed.percent.max(1));
         let projected = age.as_secs_f64() * 100.0 / percent;
-        if standing || projected > estimate * self.policy.relocation.min_slowness {
+        if is_stalled || projected > estimate * self.policy.relocation.min_slowness {
             self.run_times.record_ratio(
                 &placed.agent,
                 projected / estimate,
@@ -58,15 +59,15 @@
             );
         }
         let slowness = self.run_times.slowness(&placed.agent);
-        if !standing && slowness < self.policy.relocation.min_slowness {
+        if !is_stalled && slowness < self.policy.relocation.min_slowness {
             return;
         }
-        let here = if standing {
+        let seconds_here = if is_stalled {
             f64::INFINITY
         } else {
             (projected - age.as_secs_f64()).max(0.0)
         };
-        let work = if standing {
+        let work_seconds = if is_stalled {
             estimate
         } else {
             projected / slowness
@@ -78,15 +79,18 @@
         // some room becomes free every few milliseconds.
         let best = others
             .map(|v| {
-                self.expected_seconds(job, v, self.run_times.slowness(&v.agent)) / estimate * work
+                self.expected_seconds(job, v, self.run_times.slowness(&v.agent)) / estimate
+                    * work_seconds
             })
             .fold(f64::INFINITY, f64::min);
-        let elsewhere = best + self.policy.relocation.move_cost.as_secs_f64();
-        let end = now + time::Duration::from_secs_f64(elsewhere.min(1e6));
-        if elsewhere * self.policy.relocation.min_gain < here && end < job.submission.deadline {
+        let seconds_elsewhere = best + self.policy.relocation.move_cost.as_secs_f64();
+        let ends_at = now + time::Duration::from_secs_f64(seconds_elsewhere.min(1e6));
+        if seconds_elsewhere * self.policy.relocation.min_gain < seconds_here
+            && ends_at < job.submission.deadline
+        {
             log::info!(job = run.job.as_str(), task = run.task, run = run.number,
                 agent = placed.agent.as_str(), percent = placed.percent, age_ms = age.as_millis() as u64,
-                slowness = (slowness * 100.0).round() / 100.0, standing = standing, elsewhere_ms = (elsewhere * 1e3) as u64;
+                slowness = (slowness * 100.0).round() / 100.0, standing = is_stalled, elsewhere_ms = (seconds_elsewhere * 1e3) as u64;
                 "moving a run");
             self.move_run(no, run, placed);
         }
--- a/src/decide/besteffort/crashes.rs
+++ b/src/decide/besteffort/crashes.rs
@@ -66,10 +66,10 @@
         &mut self,
         now: time::Duration,
         agent: &str,
-        life: id::Incarnation,
+        incarnation: id::Incarnation,
         crash: &Crash,
     ) {
-        let id = (agent.into(), life, crash.server);
+        let id = (agent.into(), incarnation, crash.server);
         self.known.retain(|known| known.id != id);
         if self.known.len() == MAX_REMEMBERED {
             self.known.remove(0);
@@ -93,8 +93,8 @@
         }
         let job = job.into();
         let name = TaskName { job, task };
-        let least = u32::from(self.cleared_tasks.contains(&name)) * LIKELY_POINTS;
-        self.points_of(&name).max(least)
+        let min_points = u32::from(self.cleared_tasks.contains(&name)) * LIKELY_POINTS;
+        self.points_of(&name).max(min_points)
     }
 
     fn points_of(&self, name: &TaskName) -> u32 {
@@ -112,10 +112,10 @@
 
     /// Returns the agents whose backend servers have crashed under a task, for the log.
     pub fn crashed_agents(&self, job: &str, task: id::TaskIndex) -> Vec<&str> {
-        let is_meant = |name: &TaskName| name.job == job && name.task == task;
-        let of = self.known.iter();
-        let of = of.filter(|known| known.crash.suspects().any(is_meant));
-        of.map(|known| known.id.0.as_str()).collect()
+        let is_this_task = |name: &TaskName| name.job == job && name.task == task;
+        let crashes = self.known.iter();
+        let crashes = crashes.filter(|known| known.crash.suspects().any(is_this_task));
+        crashes.map(|known| known.id.0.as_str()).collect()
     }
 
     /// Forgets the crashes that are older than [`REMEMBERED_FOR`].
--- a/src/decide/besteffort/evacuation.rs
+++ b/src/decide/besteffort/evacuation.rs
@@ -102,15 +102,15 @@
 impl LastSent {
     /// Returns the state if it has to go into the next message: when it differs from what the agent was told,
     /// or when the last announcement is [`REPEAT_AFTER`] ago.
-    pub fn due(&mut self, now: time::Duration, word: Option<DomainState>) -> Option<DomainState> {
-        let word = word?;
+    pub fn due(&mut self, now: time::Duration, state: Option<DomainState>) -> Option<DomainState> {
+        let state = state?;
         let is_known = |(evacuated, at): (bool, time::Duration)| {
-            evacuated == word.evacuated && now.saturating_sub(at) < REPEAT_AFTER
+            evacuated == state.evacuated && now.saturating_sub(at) < REPEAT_AFTER
         };
         if self.0.is_some_and(is_known) {
             return None;
         }
-        self.0 = Some((word.evacuated, now));
-        Some(word)
+        self.0 = Some((state.evacuated, now));
+        Some(state)
     }
 }
--- a/src/decide/besteffort/flow.rs
+++ b/src/decide/besteffort/flow.rs
@@ -16,17 +16,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     sum: f64,
-    at: time::Duration,
+    updated_at: time::Duration,
 }
 
 impl Rate {
-    fn add(&mut self, now: time::Duration, work: f64) {
-        self.sum = self.decayed_sum(now) + work;
-        self.at = now;
+    fn add(&mut self, now: time::Duration, amount: f64) {
+        self.sum = self.decayed_sum(now) + amount;
+        self.updated_at = now;
     }
 
     fn decayed_sum(&self, now: time::Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.sum * (-age / WINDOW.as_secs_f64()).exp()
     }
 
@@ -38,39 +38,39 @@
 /// The rates of room asked for and taken, in thousandths of a core per second.
 #[derive(Clone, Debug, Default)]
 pub struct Flow {
-    came: BTreeMap<u32, Rate>,
-    room: Rate,
-    work: Rate,
+    asked: BTreeMap<u32, Rate>,
+    started_room: Rate,
+    started_work: Rate,
 }
 
 impl Flow {
     /// Counts a job of a priority that was accepted and asks for this much room in all.
     pub fn job_queued(&mut self, now: time::Duration, priority: u32, room: f64) {
-        self.came.entry(priority).or_default().add(now, room);
+        self.asked.entry(priority).or_default().add(now, room);
     }
 
     /// Counts a task that was started in this much room, for about so long.
-    pub fn task_started(&mut self, now: time::Duration, room: f64, long: time::Duration) {
-        self.room.add(now, room);
-        self.work.add(now, room * long.as_secs_f64());
+    pub fn task_started(&mut self, now: time::Duration, room: f64, run_time: time::Duration) {
+        self.started_room.add(now, room);
+        self.started_work.add(now, room * run_time.as_secs_f64());
     }
 
     /// Returns the room per second that arriving work more urgent than `priority` asks for.
     pub fn more_urgent_rate(&self, now: time::Duration, priority: u32) -> f64 {
-        let more = self.came.range(..priority);
+        let more = self.asked.range(..priority);
         more.map(|(_, rate)| rate.per_second(now)).sum()
     }
 
     /// Returns the room per second that started tasks take.
     pub fn start_rate(&self, now: time::Duration) -> f64 {
-        self.room.per_second(now)
+        self.started_room.per_second(now)
     }
 
     /// Returns how long room is taken on average, in seconds; `otherwise` before anything was started.
     pub fn mean_run_seconds(&self, now: time::Duration, otherwise: f64) -> f64 {
-        let room = self.room.per_second(now);
+        let room = self.started_room.per_second(now);
         if room > 0.0 {
-            self.work.per_second(now) / room
+            self.started_work.per_second(now) / room
         } else {
             otherwise
         }
--- a/src/decide/besteffort/learn.rs
+++ b/src/decide/besteffort/learn.rs
@@ -49,9 +49,9 @@
 
     /// Returns by which factor runs at an agent take longer than usual.
     pub fn slowness(&self, agent: &str) -> f64 {
-        let own = self.agents.get(agent).copied().unwrap_or(self.median);
+        let agent_log = self.agents.get(agent).copied().unwrap_or(self.median);
         let (least, most) = self.policy.slowness_bounds;
-        (own - self.median).exp().clamp(least, most)
+        (agent_log - self.median).exp().clamp(least, most)
     }
 
     /// Takes in the run time of a task that is done.
@@ -63,21 +63,21 @@
         took: time::Duration,
     ) {
         let took = took.as_secs_f64().max(MIN_SECONDS);
-        let usual = (took / self.slowness(agent)).max(MIN_SECONDS).ln();
-        let (mean, seen) = self.classes.entry(class.into()).or_insert((usual, 0));
-        *seen += 1;
-        let gain = self.policy.class_gain.max(1.0 / f64::from(*seen));
-        *mean += gain * (usual - *mean);
+        let usual_log = (took / self.slowness(agent)).max(MIN_SECONDS).ln();
+        let (mean, count) = self.classes.entry(class.into()).or_insert((usual_log, 0));
+        *count += 1;
+        let gain = self.policy.class_gain.max(1.0 / f64::from(*count));
+        *mean += gain * (usual_log - *mean);
         let ratio = took / estimate.as_secs_f64().max(MIN_SECONDS);
         self.record_ratio(agent, ratio, self.policy.agent_gain);
     }
 
     /// Takes in a ratio of actual to expected run time at an agent, with weight `gain`.
     pub fn record_ratio(&mut self, agent: &str, ratio: f64, gain: f64) {
-        let own = self.agents.entry(agent.into()).or_insert(self.median);
+        let agent_log = self.agents.entry(agent.into()).or_insert(self.median);
         let (least, most) = self.policy.slowness_bounds;
         let ratio = ratio.clamp(least, most).ln();
-        *own += gain * (ratio - *own);
+        *agent_log += gain * (ratio - *agent_log);
     }
 
     /// Recomputes the median of the agents, and moves each agent a little towards it. To be called fifty
@@ -86,8 +86,8 @@
         let mut all: Vec<f64> = self.agents.values().copied().collect();
         all.sort_unstable_by(f64::total_cmp);
         self.median = all.get(all.len() / 2).copied().unwrap_or(0.0);
-        for own in self.agents.values_mut() {
-            *own = self.median + self.policy.deviation_kept * (*own - self.median);
+        for agent_log in self.agents.values_mut() {
+            *agent_log = self.median + self.policy.deviation_kept * (*agent_log - self.median);
         }
     }
 
--- a/src/decide/besteffort/subset.rs
+++ b/src/decide/besteffort/subset.rs
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 struct KnownAgent {
-    member: ListedAgent,
+    listed: ListedAgent,
     state: State,
     /// When the link was last of use beyond the base; none for agents of the base and for those without a
     /// link.
@@ -79,7 +79,7 @@
     order: Vec<id::AgentId>,
     /// Whether agents have come or gone since `order` was computed.
     is_order_stale: bool,
-    reach: f64,
+    reach_factor: f64,
 }
 
 impl Subset {
@@ -92,29 +92,29 @@
             known: BTreeMap::new(),
             order: Vec::new(),
             is_order_stale: false,
-            reach: 1.0,
+            reach_factor: 1.0,
         }
     }
 
     /// Takes in what is listed of an agent. Where its address has changed, the link is closed and opened
     /// anew.
-    pub fn list_agent(&mut self, member: ListedAgent) -> Option<LinkChange> {
-        let name = member.agent.clone();
+    pub fn list_agent(&mut self, listed: ListedAgent) -> Option<LinkChange> {
+        let name = listed.agent.clone();
         let old = self.known.get(&name).map(|known| {
-            let moved = known.member.addr != member.addr && known.state != State::Unwanted;
-            let stays = known.member.failure_domain == member.failure_domain;
-            (moved, stays, known.state, known.extra_used_at)
+            let has_moved = known.listed.addr != listed.addr && known.state != State::Unwanted;
+            let keeps_domain = known.listed.failure_domain == listed.failure_domain;
+            (has_moved, keeps_domain, known.state, known.extra_used_at)
         });
-        let (moved, stays, state, extra_used_at) =
+        let (has_moved, keeps_domain, state, extra_used_at) =
             old.unwrap_or((false, false, State::Unwanted, None));
         let known = KnownAgent {
-            member,
-            state: if moved { State::Unwanted } else { state },
+            listed,
+            state: if has_moved { State::Unwanted } else { state },
             extra_used_at,
         };
         self.known.insert(name.clone(), known);
-        self.is_order_stale |= !stays;
-        moved.then_some(LinkChange::Close(name))
+        self.is_order_stale |= !keeps_domain;
+        has_moved.then_some(LinkChange::Close(name))
     }
 
     /// Takes in that an agent isn't listed any more. A link that is up is kept, since it proves more than the
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Whether a link to an agent is wanted. A link to an agent that isn't listed was opened earlier and is
-    /// kept.
+    /// Whether a link to an agent is wanted. One to an agent that isn't listed wasn't opened by the subset, and
+    /// counts as wanted.
     pub fn wants_link(&self, agent: &str) -> bool {
         let known = self.known.get(agent);
         known.is_none_or(|known| known.state != State::Unwanted)
@@ -181,20 +181,20 @@
     /// linked ones, as of the last change. Waiting work needn't be refused for lack of room before these
     /// agents were asked.
     pub fn reach_factor(&self) -> f64 {
-        self.reach
+        self.reach_factor
     }
 
     fn update_reach_factor(&mut self) {
         let up = self.known.values().filter(|k| k.state == State::Up).count();
-        let apart = self
+        let unlinked = self
             .known
             .values()
             .filter(|k| matches!(k.state, State::Unwanted | State::Opening));
-        let more = apart
+        let more = unlinked
             .count()
             .min(self.spare_extra_links())
             .min(self.policy.extra_at_once);
-        self.reach = if up > 0 {
+        self.reach_factor = if up > 0 {
             (up + more) as f64 / up as f64
         } else {
             1.0
@@ -228,7 +228,7 @@
             let Some(known) = self.known.get_mut(name) else {
                 continue;
             };
-            if !suits(&known.member) {
+            if !suits(&known.listed) {
                 continue;
             }
             match known.state {
@@ -237,7 +237,7 @@
                     known.state = State::Opening;
                     known.extra_used_at = Some(now);
                     opening.push(name.clone());
-                    changes.push(LinkChange::Open(name.clone(), known.member.addr));
+                    changes.push(LinkChange::Open(name.clone(), known.listed.addr));
                 }
                 State::Unwanted | State::Missing(_) | State::Up => {}
             }
@@ -261,7 +261,7 @@
                 known.extra_used_at = None;
                 if known.state == State::Unwanted {
                     known.state = State::Opening;
-                    changes.push(LinkChange::Open(name.clone(), known.member.addr));
+                    changes.push(LinkChange::Open(name.clone(), known.listed.addr));
                 }
                 continue;
             }
@@ -285,9 +285,9 @@
     /// next ones, but their links are still tried while they are among the first.
     fn base(&self, now: time::Duration) -> BTreeSet<id::AgentId> {
         let mut base = BTreeSet::new();
-        let mut there = 0;
+        let mut present = 0;
         for name in &self.order {
-            if there == self.policy.base_size || base.len() == 2 * self.policy.base_size {
+            if present == self.policy.base_size || base.len() == 2 * self.policy.base_size {
                 break;
             }
             let Some(known) = self.known.get(name) else {
@@ -297,7 +297,7 @@
                 State::Missing(since) => now.saturating_sub(since) >= self.policy.replaced_after,
                 State::Unwanted | State::Opening | State::Up => false,
             };
-            there += usize::from(!is_missing);
+            present += usize::from(!is_missing);
             base.insert(name.clone());
         }
         base
@@ -311,12 +311,12 @@
             return;
         }
         let seed = self.seed;
-        let draw = |name: &str| xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
+        let hash = |name: &str| xxh3::xxh3_64_with_seed(name.as_bytes(), seed);
         let mut domains: BTreeMap<(bool, u64), Vec<(u64, &id::AgentId)>> = BTreeMap::new();
         for (name, known) in &self.known {
-            let domain = &known.member.failure_domain;
-            let key = (*domain != self.domain, draw(domain));
-            domains.entry(key).or_default().push((draw(name), name));
+            let domain = &known.listed.failure_domain;
+            let key = (*domain != self.domain, hash(domain));
+            domains.entry(key).or_default().push((hash(name), name));
         }
         let mut own = Vec::new();
         let mut others = Vec::new();
--- a/src/decide/besteffort/view.rs
+++ b/src/decide/besteffort/view.rs
@@ -82,19 +82,19 @@
     }
 
     /// Takes in what a message of the agent says of its room and its backend server.
-    pub fn update(&mut self, now: time::Duration, line: &AgentMessage) {
+    pub fn update(&mut self, now: time::Duration, message: &AgentMessage) {
         self.heard_at = now;
-        self.free = line.free;
-        self.lent = line.lent;
-        self.competing_entries = line.sharers.max(1);
+        self.free = message.free;
+        self.lent = message.lent;
+        self.competing_entries = message.sharers.max(1);
         while self
             .unread_starts
             .front()
-            .is_some_and(|(n, _)| *n <= line.starts_read)
+            .is_some_and(|(n, _)| *n <= message.starts_read)
         {
             self.unread_starts.pop_front();
         }
-        if let Some(backend) = &line.backend {
+        if let Some(backend) = &message.backend {
             if backend.incarnation != self.backend.incarnation {
                 self.clear_failures();
                 self.largest_size = Room::default();
@@ -135,12 +135,12 @@
 
     /// Whether a task may be sent to the agent now.
     pub fn accepts_tasks(&self, now: time::Duration) -> bool {
-        let risked = self.failures >= self.policy.barred_from && self.run_count > 0;
+        let is_on_trial = self.failures >= self.policy.barred_from && self.run_count > 0;
         self.link.is_some()
             && self.backend.takes_work
             && now >= self.barred_until
             && now >= self.avoid_until
-            && !risked
+            && !is_on_trial
     }
 
     /// Whether the agent is linked and its backend server accepts work, even if the agent is barred.
