--- a/examples/claims_and_fencing.rs
+++ b/examples/claims_and_fencing.rs
@@ -8,8 +8,8 @@
 use std::time;
 
 use lovagemill::code::Code;
-use lovagemill::decide::inherit::{Found, Inheritance, Life, PATIENCE};
-use lovagemill::decide::ledger::{Ledger, Standing, Verdict};
+use lovagemill::decide::inherit::{AgentIncarnation, Found, Inheritance, REPORT_TIMEOUT};
+use lovagemill::decide::ledger::{Ledger, StartDecision, TaskState};
 use lovagemill::id;
 use lovagemill::task;
 
@@ -31,32 +31,32 @@
     }
     assert_eq!(
         agents[0].start(now, 1, &task("canoas/k1", 0), 1),
-        Verdict::Run
+        StartDecision::Run
     );
 
     // The owner falls silent; its successor raises the epoch in the table and fences the agents.
     for agent in &mut agents {
-        assert_eq!(agent.fence(2), Ok(()));
+        assert_eq!(agent.raise_fence(2), Ok(()));
     }
 
     // The first owner wakes and sends its next start, and a hello. Nothing of it takes effect.
     let late = agents[1].start(now, 1, &task("canoas/k1", 1), 1);
-    assert_eq!(late, Verdict::Refuse(Code::StaleEpoch));
-    assert_eq!(agents[1].fence(1), Err(2));
+    assert_eq!(late, StartDecision::Refuse(Code::StaleEpoch));
+    assert_eq!(agents[1].raise_fence(1), Err(2));
 
     // The successor looks keys up only once it knows the claims and what every agent started.
     let mut inheritance = Inheritance::open(now, wall);
-    let lives: Vec<Life> = (0..2).map(life).collect();
-    inheritance.members(now, lives.clone(), &[]);
-    inheritance.claims([]);
+    let lives: Vec<AgentIncarnation> = (0..2).map(life).collect();
+    inheritance.set_members(now, lives.clone(), &[]);
+    inheritance.set_claims([]);
     assert!(!inheritance.is_ready(now));
     for (agent, life) in agents.iter().zip(&lives) {
-        inheritance.report(life, &agent.report());
+        inheritance.add_report(life, &agent.task_states());
     }
     assert!(inheritance.is_ready(now));
 
     // The caller submits the job again: its first task is known, the second was never started.
-    let found = inheritance.look(&"canoas/k1".into(), 7, None);
+    let found = inheritance.look_up(&"canoas/k1".into(), 7, None);
     let Found::Known {
         tasks,
         rest_startable,
@@ -64,36 +64,36 @@
     else {
         panic!("the job is known: {found:?}");
     };
-    assert_eq!(tasks[&0], (lives[0].clone(), Standing::Started));
+    assert_eq!(tasks[&0], (lives[0].clone(), TaskState::Started));
     assert!(rest_startable);
     assert_eq!(
         agents[1].start(now, 2, &task("canoas/k1", 1), 1),
-        Verdict::Run
+        StartDecision::Run
     );
     // The same start twice runs once.
     assert_eq!(
         agents[1].start(now, 2, &task("canoas/k1", 1), 1),
-        Verdict::Duplicate
+        StartDecision::Duplicate
     );
     println!("the late start was refused, the resubmission found its first task");
 
     // Where an agent is lost with the owner, a key that may have run is never called fresh.
     let mut blind = Inheritance::open(now, wall);
-    blind.members(now, lives.clone(), &[]);
-    blind.claims([]);
-    blind.report(&lives[0], &agents[0].report());
-    let later = now + PATIENCE;
+    blind.set_members(now, lives.clone(), &[]);
+    blind.set_claims([]);
+    blind.add_report(&lives[0], &agents[0].task_states());
+    let later = now + REPORT_TIMEOUT;
     assert!(blind.is_ready(later), "it doesn't wait for ever");
     let minted_before = Some(wall);
     assert_eq!(
-        blind.look(&"canoas/k2".into(), 9, minted_before),
+        blind.look_up(&"canoas/k2".into(), 9, minted_before),
         Found::MayHaveRun
     );
     println!("a key that may have run on the lost agent is answered as unknown, not as not run");
 }
 
-fn life(number: usize) -> Life {
-    Life {
+fn life(number: usize) -> AgentIncarnation {
+    AgentIncarnation {
         agent: format!("agent-{number}").into(),
         incarnation: 1,
     }
--- a/examples/fair_queue.rs
+++ b/examples/fair_queue.rs
@@ -6,7 +6,7 @@
 
 use lovagemill::decide::demand::{self, Demand};
 use lovagemill::decide::queue::{Policy, Queue};
-use lovagemill::decide::waiting::Waiting;
+use lovagemill::decide::waiting::WaitingTask;
 use lovagemill::id;
 use lovagemill::task;
 
@@ -14,7 +14,7 @@
 const RUN: time::Duration = time::Duration::from_millis(100);
 
 fn push(queue: &mut Queue, now: time::Instant, account: &str, job: &str, tasks: u32) {
-    let waiting = |index| Waiting {
+    let waiting = |index| WaitingTask {
         id: task::Id {
             job: job.into(),
             index,
@@ -30,10 +30,10 @@
 /// Tells the client accounts that fit beside the largest one from those that don't, by what they ask for.
 fn classify(queue: &mut Queue, now: time::Instant) {
     let mut demand = Demand::open(now);
-    demand.offer(now, &"rede-estadual".into(), 1_000.0 * RUN.as_secs_f64());
-    demand.offer(now, &"canoas".into(), 10.0 * RUN.as_secs_f64());
-    for (account, light) in demand.refresh(now + demand::REFRESH, 8) {
-        queue.classify(&account, light);
+    demand.record_offer(now, &"rede-estadual".into(), 1_000.0 * RUN.as_secs_f64());
+    demand.record_offer(now, &"canoas".into(), 10.0 * RUN.as_secs_f64());
+    for (account, light) in demand.classify(now + demand::CLASSIFY_INTERVAL, 8) {
+        queue.set_light(&account, light);
     }
 }
 
@@ -52,7 +52,7 @@
             _ => "canoas".into(),
         };
         // The queue is told what a client account uses; it never asks for weights.
-        queue.started(&account);
+        queue.record_start(&account);
         queue.charge(now, &account, RUN.as_secs_f64());
         if task.id.job == job {
             last = served;
--- a/examples/placement.rs
+++ b/examples/placement.rs
@@ -56,7 +56,7 @@
     let mut taken = BTreeMap::new();
     for _ in 0..11 * SLOTS / 2 {
         let id = fleet.choose(&needs).expect("half of the slots are free");
-        fleet.book(&id, &needs);
+        fleet.reserve(&id, &needs);
         *taken.entry(id).or_insert(0) += 1;
     }
     taken.into_values().max().unwrap_or(0)
@@ -81,7 +81,7 @@
     };
     let id = fleet.choose(&needs).expect("one agent has an accelerator");
     assert_eq!(id, "agent-07");
-    fleet.book(&id, &needs);
+    fleet.reserve(&id, &needs);
     assert!(!fleet.has_room(&needs), "the accelerator is taken");
     assert!(fleet.could_ever_run(now, &needs), "but it comes free again");
     let two = task::Needs {
--- a/examples/sick_workers.rs
+++ b/examples/sick_workers.rs
@@ -45,11 +45,11 @@
     }
     println!("of 200 rounds the failing worker got {at_sick} tasks before it was barred");
     assert!(at_sick < 10);
-    assert_eq!(health.barred(), 1, "it alone is barred");
+    assert_eq!(health.barred_count(), 1, "it alone is barred");
 
     // The bar ends, and one real task tells whether the worker is well again.
     let later = begun + time::Duration::from_secs(600);
-    assert_eq!(health.due(later).first(), Some(&sick));
+    assert_eq!(health.end_due_bars(later).first(), Some(&sick));
     assert_eq!(health.limit(&sick), 1, "one task is at risk");
     health.observe(later, &sick, &account, Outcome::Done(run, run), WORKERS);
     assert!(health.limit(&sick) > 1, "it is let back");
--- a/examples/versioned_configuration.rs
+++ b/examples/versioned_configuration.rs
@@ -37,7 +37,7 @@
 
     // Another process tells of version 3 on a message that was sent anyway: reading pays now.
     assert!(!current.is_behind());
-    current.hear(3);
+    current.record_remote_version(3);
     assert!(current.is_behind());
     assert!(current.accept(versioned(3, 5_000)));
     assert!(!current.is_behind());
--- a/src/agent/held.rs
+++ b/src/agent/held.rs
@@ -99,9 +99,9 @@
             return;
         }
         match self.ledger.start(now, epoch, &start.id, start.attempt) {
-            ledger::Verdict::Run => self.waiting.push_back(Waiting { start, since: now }),
-            ledger::Verdict::Duplicate => {}
-            ledger::Verdict::Refuse(code) => {
+            ledger::StartDecision::Run => self.waiting.push_back(Waiting { start, since: now }),
+            ledger::StartDecision::Duplicate => {}
+            ledger::StartDecision::Refuse(code) => {
                 self.tell(Notice::Refused(start.attempt(), code));
             }
         }
@@ -110,7 +110,7 @@
     /// Gives back what waits here and can't be run here any more.
     pub fn give_back(&mut self, now: time::Instant) {
         for Waiting { start, .. } in std::mem::take(&mut self.waiting) {
-            let attempt = self.ledger.unstart(now, &start.id);
+            let attempt = self.ledger.revert_start(now, &start.id);
             self.tell(Notice::Refused(attempt, code::Code::NotJoined));
         }
     }
--- a/src/agent/join.rs
+++ b/src/agent/join.rs
@@ -108,9 +108,9 @@
 }
 
 /// The lives that ended, the one before included, as long as they matter.
-fn lost_lives(before: rows::Agent, claimed: bool) -> Vec<inherit::LostLife> {
+fn lost_lives(before: rows::Agent, claimed: bool) -> Vec<inherit::LostIncarnation> {
     let mut lost = recent(before.lost);
-    lost.push(inherit::LostLife {
+    lost.push(inherit::LostIncarnation {
         incarnation: before.incarnation,
         at_ms: clock::since_epoch().as_millis() as u64,
         claimed,
@@ -118,7 +118,7 @@
     lost
 }
 
-fn recent(mut lost: Vec<inherit::LostLife>) -> Vec<inherit::LostLife> {
+fn recent(mut lost: Vec<inherit::LostIncarnation>) -> Vec<inherit::LostIncarnation> {
     let now_ms = clock::since_epoch().as_millis() as u64;
     let keep_ms = 2 * ledger::RETENTION.as_millis() as u64;
     lost.retain(|life| life.at_ms + keep_ms > now_ms);
--- a/src/agent/work.rs
+++ b/src/agent/work.rs
@@ -80,7 +80,7 @@
     /// Takes the hello of an owner: raises the fence, reports, and speaks to this owner from now.
     pub fn greet(&self, hello: &agent::Hello, tx: link::Sender<Notice>) {
         let mut inner = self.lock();
-        if let Err(newest) = inner.ledger.fence(hello.epoch) {
+        if let Err(newest) = inner.ledger.raise_fence(hello.epoch) {
             let _ = tx.send(Notice::Stale(newest));
             return;
         }
@@ -88,7 +88,7 @@
             incarnation: self.incarnation,
             failure_domain: self.cfg.failure_domain.clone(),
             rack: self.cfg.rack.clone(),
-            tasks: inner.ledger.report(),
+            tasks: inner.ledger.task_states(),
         };
         let _ = tx.send(Notice::Welcome(welcome));
         inner.owner = Some(tx);
@@ -147,7 +147,7 @@
                 }));
             } else {
                 inner.waiting.retain(|waiting| waiting.start.id != id);
-                let attempt = inner.ledger.unstart(now, &id);
+                let attempt = inner.ledger.revert_start(now, &id);
                 inner.tell(Notice::Refused(attempt, code::Code::Burned));
             }
         }
@@ -223,7 +223,7 @@
             task::Outcome::Done(_) => false,
         };
         if let (true, task::Outcome::Failed(code)) = (not_run, &outcome) {
-            let attempt = inner.ledger.unstart(now, id);
+            let attempt = inner.ledger.revert_start(now, id);
             inner.tell(Notice::Refused(attempt, *code));
         } else {
             let ran_us = ran.as_micros() as u64;
@@ -282,7 +282,7 @@
         }
         if now.saturating_duration_since(inner.swept) >= SWEEP {
             inner.swept = now;
-            inner.ledger.sweep(now);
+            inner.ledger.forget_expired(now);
             self.large.sweep(now);
         }
     }
@@ -310,8 +310,8 @@
 
     /// Tells whether this life remembers any task that it started.
     pub fn has_started(&self) -> bool {
-        let report = self.lock().ledger.report();
-        let started = |(_, standing): &(_, _)| *standing != ledger::Standing::Withdrawn;
+        let report = self.lock().ledger.task_states();
+        let started = |(_, standing): &(_, _)| *standing != ledger::TaskState::Withdrawn;
         report.iter().any(started)
     }
 
--- a/src/bench/decisions.rs
+++ b/src/bench/decisions.rs
@@ -284,13 +284,13 @@
 }
 
 /// What an agent reports of tasks that it remembers, three of each job.
-pub fn report(n: usize) -> Vec<(task::Id, ledger::Standing)> {
+pub fn report(n: usize) -> Vec<(task::Id, ledger::TaskState)> {
     let record = |number: usize| {
         let id = task::Id {
             job: format_compact!("team-07/0190a5b3-7c1d-7e2f-8a3b-{:012x}", number / 3),
             index: (number % 3) as u32,
         };
-        (id, ledger::Standing::Gone)
+        (id, ledger::TaskState::Gone)
     };
     (0..n).map(record).collect()
 }
--- a/src/bench/memory.rs
+++ b/src/bench/memory.rs
@@ -121,24 +121,24 @@
 fn claims(n: usize) -> inherit::Inheritance {
     let now = time::Instant::now();
     let mut inheritance = inherit::Inheritance::open(now, time::Duration::ZERO);
-    let claim = |number: usize| inherit::Claimed {
+    let claim = |number: usize| inherit::StoredClaim {
         key: format_compact!("team-07/0190a5b3-7c1d-7e2f-8a3b-{number:012x}"),
         digest: number as u64,
         tasks: TASKS as u32,
         at_ms: 1_700_000_000_000,
     };
-    inheritance.claims((0..n).map(claim));
+    inheritance.set_claims((0..n).map(claim));
     inheritance
 }
 
 fn reported(n: usize) -> inherit::Inheritance {
     let now = time::Instant::now();
     let mut inheritance = inherit::Inheritance::open(now, time::Duration::ZERO);
-    let life = inherit::Life {
+    let life = inherit::AgentIncarnation {
         agent: "agent-0000".into(),
         incarnation: 1,
     };
-    inheritance.report(&life, &decisions::report(n));
+    inheritance.add_report(&life, &decisions::report(n));
     inheritance
 }
 
--- a/src/bench/takeover.rs
+++ b/src/bench/takeover.rs
@@ -58,7 +58,7 @@
     let n = if cfg.quick { 10_000 } else { 44_000 };
     let (mut micros, mut bytes) = (Vec::new(), Vec::new());
     for incarnation in 0..3 {
-        let life = inherit::Life {
+        let life = inherit::AgentIncarnation {
             agent: "agent-0000".into(),
             incarnation,
         };
@@ -67,8 +67,8 @@
         let report = decisions::report(n);
         let begun = time::Instant::now();
         let text = serde_json::to_string(&report)?;
-        let read: Vec<(task::Id, ledger::Standing)> = serde_json::from_str(&text)?;
-        inheritance.report(&life, &read);
+        let read: Vec<(task::Id, ledger::TaskState)> = serde_json::from_str(&text)?;
+        inheritance.add_report(&life, &read);
         micros.push(begun.elapsed().as_secs_f64() * 1e6 / n as f64);
         bytes.push(text.len() as f64 / n as f64);
     }
@@ -130,7 +130,7 @@
 async fn write_claims(table: &Table, n: usize) -> anyhow::Result<()> {
     let at_ms = clock::since_epoch().as_millis() as u64;
     for group in 0..n.div_ceil(GROUP) {
-        let claim = |number: usize| inherit::Claimed {
+        let claim = |number: usize| inherit::StoredClaim {
             key: format_compact!("team-07/0190a5b3-7c1d-7e2f-8a3b-{number:012x}"),
             digest: number as u64,
             tasks: 145,
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -23,7 +23,7 @@
 use crate::wire::rows;
 
 /// How long claims that no start waits for are gathered. It stays well under
-/// [`inherit::TABLE_SIGHT`], since these writes are the owner's proofs of ownership.
+/// [`inherit::TABLE_CONTACT_WINDOW`], since these writes are the owner's proofs of ownership.
 pub const GATHER_TIME: time::Duration = time::Duration::from_millis(900);
 
 /// Most claims in a group, which is one row of the table.
@@ -105,7 +105,7 @@
         return false;
     }
     let until = tokio::time::Instant::now() + GATHER_TIME;
-    while group.len() < MAX_GROUP_CLAIMS && !group.iter().any(|claim| claim.ahead) {
+    while group.len() < MAX_GROUP_CLAIMS && !group.iter().any(|claim| claim.blocks_starts) {
         let room = MAX_GROUP_CLAIMS - group.len();
         match tokio::time::timeout_at(until, rx.recv_many(group, room)).await {
             Ok(0) | Err(_) => break,
@@ -171,7 +171,7 @@
         tokio::select! {
             output = &mut awaited => return output,
             claim = rx.recv(), if down => match claim {
-                Some(claim) if claim.ahead => refuse_awaited(&[claim], events),
+                Some(claim) if claim.blocks_starts => refuse_awaited(&[claim], events),
                 Some(claim) => late_claims.push(claim),
                 None => return awaited.await,
             },
@@ -181,7 +181,7 @@
 
 /// Reports as refused all claims that starts wait for.
 fn refuse_awaited(claims: &[action::Claim], events: &Events) {
-    let ahead = claims.iter().filter(|claim| claim.ahead);
+    let ahead = claims.iter().filter(|claim| claim.blocks_starts);
     let keys: Vec<_> = ahead.map(|claim| claim.key.clone()).collect();
     (events.refused)(&keys, code::Code::StoreDown);
 }
@@ -195,7 +195,7 @@
     group: &[action::Claim],
 ) -> Transaction {
     let at_ms = clock::since_epoch().as_millis() as u64;
-    let claims: Vec<_> = group.iter().map(inherit::Claimed::of).collect();
+    let claims: Vec<_> = group.iter().map(inherit::StoredClaim::of).collect();
     let mut writes = vec![Write {
         key: key.clone(),
         value: serde_json::to_string(&claims).ok(),
--- a/src/controller/config.rs
+++ b/src/controller/config.rs
@@ -87,7 +87,7 @@
     /// newer one makes the loop read the document.
     pub fn note_version(&self, version: id::Version) {
         let mut current = self.lock();
-        current.hear(version);
+        current.record_remote_version(version);
         if current.is_behind() {
             self.wake.notify_one();
         }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -89,15 +89,17 @@
 /// ago that no submission can depend on them any more.
 fn is_expired(agent: &rows::Agent) -> bool {
     let now = clock::since_epoch();
-    let is_old = |life: &inherit::LostLife| {
+    let is_old = |life: &inherit::LostIncarnation| {
         time::Duration::from_millis(life.at_ms) + 2 * ledger::RETENTION < now
     };
     agent.left && agent.lost.iter().all(is_old)
 }
 
 /// Returns the agents' current incarnations, from each of which a new owner needs a report.
-pub fn current_incarnations(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::Life> {
-    let life = |(agent, row): (&id::AgentId, &rows::Agent)| inherit::Life {
+pub fn current_incarnations(
+    members: &HashMap<id::AgentId, rows::Agent>,
+) -> Vec<inherit::AgentIncarnation> {
+    let life = |(agent, row): (&id::AgentId, &rows::Agent)| inherit::AgentIncarnation {
         agent: agent.clone(),
         incarnation: row.incarnation,
     };
@@ -109,6 +111,8 @@
 }
 
 /// Returns the agents' incarnations that were lost.
-pub fn lost_incarnations(members: &HashMap<id::AgentId, rows::Agent>) -> Vec<inherit::LostLife> {
+pub fn lost_incarnations(
+    members: &HashMap<id::AgentId, rows::Agent>,
+) -> Vec<inherit::LostIncarnation> {
     members.values().flat_map(|row| row.lost.clone()).collect()
 }
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -83,7 +83,7 @@
     states: Mutex<HashMap<id::Cell, State>>,
     cell_moves: Mutex<CellMoves>,
     /// The latest reads of the watched rows, by this entry and by others.
-    sight: Mutex<head::Sight>,
+    sight: Mutex<head::WatchState>,
     /// Pauses between attempts while the table fails.
     outage: Mutex<backoff::Backoff>,
     /// Makes the loop check the cells at once.
@@ -199,7 +199,9 @@
 
     /// Notes the digest of the watched rows that another entry read, and the age of that read.
     pub fn note_digest(&self, digest: head::Digest, age: time::Duration) {
-        let is_news = self.sight().hear(time::Instant::now(), digest, age);
+        let is_news = self
+            .sight()
+            .record_remote_read(time::Instant::now(), digest, age);
         if is_news {
             self.wake.notify_one();
         }
@@ -207,7 +209,7 @@
 
     /// Returns the digest of the watched rows and the age of the read behind it, for other entries.
     pub fn newest_digest(&self) -> Option<(head::Digest, time::Duration)> {
-        self.sight().tell(time::Instant::now())
+        self.sight().known_digest(time::Instant::now())
     }
 
     /// Runs the loop; never returns.
@@ -248,7 +250,7 @@
         };
         // If there are several cells to spread, every entry has to see which ones the others own.
         let watches = owns || self.has_several_cells();
-        self.sight().due_in(time::Instant::now(), watches)
+        self.sight().next_read_in(time::Instant::now(), watches)
     }
 
     /// Returns the time until the next heartbeat is due, if this entry owns a cell.
@@ -310,7 +312,7 @@
         f(&mut self.outage.lock().expect("the outage is whole"))
     }
 
-    fn sight(&self) -> MutexGuard<'_, head::Sight> {
+    fn sight(&self) -> MutexGuard<'_, head::WatchState> {
         self.sight.lock().expect("the sight is whole")
     }
 }
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -20,12 +20,12 @@
         let Ok(found) = self.note_answer(found) else {
             return;
         };
-        if self.sight().read(begun, rows_digest(&found)) {
+        if self.sight().record_read(begun, rows_digest(&found)) {
             (self.events.head_changed)(&found);
         }
         let by_key: HashMap<_, _> = found.iter().map(|row| (row.key.clone(), row)).collect();
         let mut holdings = self.holdings(&found).await;
-        for cell in spread::order(&self.candidate.entry, self.cells) {
+        for cell in spread::cell_order(&self.candidate.entry, self.cells) {
             let row = by_key.get(&rows::cell(cell)).copied();
             if self.check_cell(cell, row, &holdings).await {
                 holdings.add(&self.candidate.entry, cell);
@@ -58,7 +58,7 @@
         holdings: &spread::Holdings,
         by_key: &HashMap<CompactString, &platform::Row>,
     ) {
-        let Some(cell) = holdings.pull(&self.candidate.entry) else {
+        let Some(cell) = holdings.cell_to_pull(&self.candidate.entry) else {
             return;
         };
         {
@@ -69,7 +69,7 @@
                 .pulled_at;
             // At the first check of this entry, other entries may not have taken their cells yet.
             let since = *pulled.get_or_insert_with(time::Instant::now);
-            if since.elapsed() < spread::PULL_PAUSE {
+            if since.elapsed() < spread::MIN_PULL_INTERVAL {
                 return;
             }
             *pulled = Some(time::Instant::now());
@@ -118,8 +118,10 @@
                 revision,
                 // The answer to the write was lost, so it is unknown when this entry got the cell.
                 // The proof of ownership counts as too old to start work before its claims.
-                begun: now.checked_sub(inherit::TABLE_SIGHT).unwrap_or(now),
-                unclaimed_starts_until: now + inherit::TABLE_SIGHT,
+                begun: now
+                    .checked_sub(inherit::TABLE_CONTACT_WINDOW)
+                    .unwrap_or(now),
+                unclaimed_starts_until: now + inherit::TABLE_CONTACT_WINDOW,
             });
             return false;
         }
@@ -196,7 +198,7 @@
         let value = serde_json::to_string(&owner).unwrap_or_default();
         let mut tx = Transaction::put_if(&rows::cell(cell), revision, value);
         // The previous owner may start work before its claims are written while its last proof of
-        // ownership is younger than [`inherit::TABLE_SIGHT`], and every proof changes its
+        // ownership is younger than [`inherit::TABLE_CONTACT_WINDOW`], and every proof changes its
         // heartbeat. If the heartbeat was seen to be unchanged, that time counts from when it was
         // first seen. The condition guards against a proof between the last read of the heartbeat
         // and this write.
@@ -210,7 +212,7 @@
         match (self.table.commit)(tx).await {
             Ok(Commit::Done(revision)) => {
                 let since = unchanged.map_or_else(time::Instant::now, |(_, since)| since);
-                let unclaimed_starts_until = since + inherit::TABLE_SIGHT;
+                let unclaimed_starts_until = since + inherit::TABLE_CONTACT_WINDOW;
                 self.cell_moves
                     .lock()
                     .expect("the ownership is whole")
--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -8,7 +8,7 @@
 use crate::submission;
 
 /// Numbers someone who waits for a job's ending; the daemon knows who it is.
-pub type Waiter = u64;
+pub type WaiterId = u64;
 
 /// One thing to be done.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     /// Write a claim to the table, and report back with `claimed` or `claim_refused`.
     Claim(Claim),
     /// Tell a waiter how its job ended.
-    Reply(Waiter, Arc<submission::Ending>),
+    Reply(WaiterId, Arc<submission::Ending>),
     /// Record where the time went of something that is over and belongs to a trace.
     Record(timing::Timing),
 }
@@ -33,7 +33,7 @@
     /// How many tasks it has.
     pub tasks: u32,
     /// True where nothing may start before the claim is in the table.
-    pub ahead: bool,
+    pub blocks_starts: bool,
     /// When the submission was accepted, in milliseconds since the Unix epoch, by the owner's clock.
     pub at_ms: u64,
 }
--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -8,7 +8,7 @@
 
 /// Share of its target within which a job has to be thought to end. What is left of the target
 /// bears the error of the forecast; `docs/design/overload.md` has the figures.
-pub const HEADROOM: f64 = 0.4;
+pub const PLANNED_TARGET_SHARE: f64 = 0.4;
 
 /// Waiting work of one client account.
 #[derive(Clone, Debug, Default)]
@@ -71,7 +71,7 @@
         let at = grain(deadline);
         let before: f64 = self.by_deadline.range(..=at).map(|(_, s)| s).sum();
         let mut ahead = before + seconds;
-        let mut late = ahead / rate + longest.as_secs_f64() - HEADROOM * target;
+        let mut late = ahead / rate + longest.as_secs_f64() - PLANNED_TARGET_SHARE * target;
         for (due, work) in self.by_deadline.range(at + 1..) {
             ahead += work;
             let left = *due as f64 * GRAIN.as_secs_f64() - now.as_secs_f64();
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -17,7 +17,7 @@
 
 /// The share of one entry. Four entries at the limit use half of the platform's writes and a
 /// fifth of its reads.
-pub const ENTRY: Limits = Limits {
+pub const ENTRY_LIMITS: Limits = Limits {
     reads: 100.0,
     writes: 60.0,
 };
@@ -45,7 +45,11 @@
 
     /// Books one operation. Returns how long it has to wait, or nothing where that is more than
     /// `patience` and nothing was booked.
-    pub fn book(&mut self, now: time::Instant, patience: time::Duration) -> Option<time::Duration> {
+    pub fn reserve(
+        &mut self,
+        now: time::Instant,
+        patience: time::Duration,
+    ) -> Option<time::Duration> {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         self.tokens = (self.tokens + passed * self.rate).min(self.rate * SAVED);
         self.at = self.at.max(now);
--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -26,7 +26,7 @@
     }
 
     /// Notes a version that another process says is in force.
-    pub fn hear(&mut self, version: id::Version) {
+    pub fn record_remote_version(&mut self, version: id::Version) {
         self.heard = self.heard.max(version);
     }
 
--- a/src/decide/delivery.rs
+++ b/src/decide/delivery.rs
@@ -17,7 +17,7 @@
 
 impl Delivery {
     /// Notes that a message leaves.
-    pub fn send(&mut self, now: time::Instant) {
+    pub fn record_sent(&mut self, now: time::Instant) {
         self.sent += 1;
         self.pending.push_back(now);
     }
--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -10,10 +10,10 @@
 use crate::id;
 
 /// Time constant with which offered work fades.
-pub const WINDOW: time::Duration = time::Duration::from_secs(10);
+pub const DECAY_TIME: time::Duration = time::Duration::from_secs(10);
 
 /// How often client accounts are sorted anew.
-pub const REFRESH: time::Duration = time::Duration::from_millis(100);
+pub const CLASSIFY_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Shortest time over which a rate is worked out, so that the first job isn't taken for a flood.
 const MIN_SPAN: f64 = 0.25;
@@ -56,7 +56,7 @@
 impl Offered {
     fn fade(&mut self, now: time::Instant) {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.work *= (-age / WINDOW.as_secs_f64()).exp();
+        self.work *= (-age / DECAY_TIME.as_secs_f64()).exp();
         self.at = self.at.max(now);
     }
 }
@@ -75,7 +75,7 @@
     }
 
     /// Notes work that a client account asks for, in seconds of slot time; refused work counts as well.
-    pub fn offer(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
+    pub fn record_offer(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
         let offered = self
             .client_accounts
             .entry(account.clone())
@@ -97,14 +97,14 @@
     }
 
     /// Slots that a heavy client account may count on; none for a light one.
-    pub fn share(&self, account: &id::ClientAccount) -> Option<f64> {
+    pub fn heavy_share(&self, account: &id::ClientAccount) -> Option<f64> {
         self.client_accounts
             .get(account)
             .and_then(|offered| offered.share)
     }
 
     /// Light client accounts that have asked for anything of late.
-    pub fn light(&self) -> usize {
+    pub fn light_count(&self) -> usize {
         self.light
     }
 
@@ -124,8 +124,8 @@
 
     /// Sorts the client accounts anew where that is due. Returns those that changed, and whether each is
     /// light now.
-    pub fn refresh(&mut self, now: time::Instant, slots: u32) -> Vec<(id::ClientAccount, bool)> {
-        if now.saturating_duration_since(self.refreshed) < REFRESH {
+    pub fn classify(&mut self, now: time::Instant, slots: u32) -> Vec<(id::ClientAccount, bool)> {
+        if now.saturating_duration_since(self.refreshed) < CLASSIFY_INTERVAL {
             return Vec::new();
         }
         self.refreshed = now;
@@ -157,12 +157,12 @@
     /// By how much the light client accounts may exceed their rate for as long as a job waits: the
     /// standard deviation of jobs that arrive at random.
     fn scatter(&self) -> f64 {
-        (self.light_rate * self.job / WINDOW.as_secs_f64()).sqrt()
+        (self.light_rate * self.job / DECAY_TIME.as_secs_f64()).sqrt()
     }
 
     /// Slots that each client account asks for, without those that ask for next to nothing.
     fn rates(&mut self, now: time::Instant) -> Vec<(id::ClientAccount, f64)> {
-        let window = WINDOW.as_secs_f64();
+        let window = DECAY_TIME.as_secs_f64();
         let age = now.saturating_duration_since(self.opened).as_secs_f64();
         let span = (window * (1.0 - (-age / window).exp())).max(MIN_SPAN);
         self.client_accounts.retain(|_, offered| {
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -91,7 +91,7 @@
 
 impl Estimates {
     /// Guesses how long a task runs.
-    pub fn guess(
+    pub fn estimate(
         &self,
         account: &id::ClientAccount,
         kind: &CompactString,
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -33,7 +33,7 @@
 const MAX_SHAPES: usize = 32;
 
 /// For how long the capacity of a worker that is gone is remembered.
-pub const REMEMBER: time::Duration = time::Duration::from_secs(600);
+pub const CAPACITY_RETENTION: time::Duration = time::Duration::from_secs(600);
 
 /// Most capacities that are remembered.
 const MAX_CAPACITIES: usize = 1_000;
@@ -79,7 +79,7 @@
 
 impl Agent {
     /// Slots that are free.
-    pub fn free(&self) -> u32 {
+    pub fn free_slots(&self) -> u32 {
         self.slots().saturating_sub(self.sent)
     }
 
@@ -93,7 +93,7 @@
 
     /// Tells whether a task fits now.
     fn fits(&self, needs: &task::Needs) -> bool {
-        self.free() > 0 && (*needs == task::Needs::default() || needs.fit(&self.left()))
+        self.free_slots() > 0 && (*needs == task::Needs::default() || needs.fit(&self.left()))
     }
 
     /// What is left for the needs of tasks.
@@ -121,14 +121,14 @@
 impl Seen {
     /// Tells whether work may still be kept for such an agent.
     fn counts(&self, now: time::Instant) -> bool {
-        self.present > 0 || now.saturating_duration_since(self.last) < REMEMBER
+        self.present > 0 || now.saturating_duration_since(self.last) < CAPACITY_RETENTION
     }
 }
 
 impl Counted {
     fn of(agent: &Agent) -> Counted {
         Counted {
-            free: agent.free(),
+            free: agent.free_slots(),
             slots: agent.slots(),
         }
     }
@@ -178,10 +178,10 @@
         self.remove(now, &id);
         self.came(now, agent.load.capacity);
         self.slots += agent.slots();
-        self.free_slots += agent.free();
+        self.free_slots += agent.free_slots();
         for (needs, room) in &mut self.rooms {
             if agent.fits(needs) {
-                room.insert((agent.free(), id.clone()));
+                room.insert((agent.free_slots(), id.clone()));
             }
         }
         if agent.state == State::Silent {
@@ -195,8 +195,8 @@
         let agent = self.agents.remove(id)?;
         self.left(now, &agent.load.capacity);
         self.slots -= agent.slots();
-        self.free_slots -= agent.free();
-        let entry = (agent.free(), id.clone());
+        self.free_slots -= agent.free_slots();
+        let entry = (agent.free_slots(), id.clone());
         for room in self.rooms.values_mut() {
             room.remove(&entry);
         }
@@ -205,7 +205,7 @@
     }
 
     /// Takes an agent's load.
-    pub fn load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
+    pub fn set_load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
         let known = self.agents.get(id).map(|agent| agent.load);
         let same = |known: notice::Load| notice::Load {
             running: load.running,
@@ -226,14 +226,14 @@
     }
 
     /// Sets how many tasks an agent's health allows at a time.
-    pub fn limit(&mut self, id: &id::AgentId, limit: u32) {
+    pub fn set_limit(&mut self, id: &id::AgentId, limit: u32) {
         if self.agents.get(id).is_some_and(|a| a.limit != limit) {
             self.update(id, |agent| agent.limit = limit);
         }
     }
 
     /// Notes that an agent's link is gone.
-    pub fn silence(&mut self, now: time::Instant, id: &id::AgentId) {
+    pub fn mark_silent(&mut self, now: time::Instant, id: &id::AgentId) {
         if self.agents.get(id).is_none_or(|a| a.state == State::Silent) {
             return;
         }
@@ -251,7 +251,7 @@
     }
 
     /// Books a task on an agent.
-    pub fn book(&mut self, id: &id::AgentId, needs: &task::Needs) {
+    pub fn reserve(&mut self, id: &id::AgentId, needs: &task::Needs) {
         self.update(id, |agent| {
             agent.sent += 1;
             agent.taken.add(needs);
@@ -287,7 +287,7 @@
     }
 
     /// Keeps the agents with room for such needs listed from now on.
-    pub fn list(&mut self, needs: &task::Needs) {
+    pub fn index_needs(&mut self, needs: &task::Needs) {
         if self.rooms.contains_key(needs) {
             return;
         }
@@ -295,7 +295,7 @@
             self.rooms.retain(|n, _| *n == task::Needs::default());
         }
         let fitting = self.agents.iter().filter(|(_, agent)| agent.fits(needs));
-        let room = fitting.map(|(id, agent)| (agent.free(), id.clone()));
+        let room = fitting.map(|(id, agent)| (agent.free_slots(), id.clone()));
         let room = room.collect();
         self.rooms.insert(*needs, room);
     }
@@ -310,7 +310,7 @@
 
     /// Chooses the agent for a task, if one has room.
     pub fn choose(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
-        self.list(needs);
+        self.index_needs(needs);
         match self.placement {
             Placement::MostFree => self.rooms[needs].last().map(|(_, id)| id.clone()),
             Placement::Random => self.draw(needs),
@@ -330,7 +330,7 @@
     fn least_of_two(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
         let a = self.draw(needs)?;
         let b = self.draw(needs)?;
-        let less = if self.agents[&a].free() >= self.agents[&b].free() {
+        let less = if self.agents[&a].free_slots() >= self.agents[&b].free_slots() {
             a
         } else {
             b
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -177,7 +177,7 @@
     }
 
     /// Workers whose bar ends: each may have one task at risk.
-    pub fn due(&mut self, now: time::Instant) -> Vec<id::AgentId> {
+    pub fn end_due_bars(&mut self, now: time::Instant) -> Vec<id::AgentId> {
         let mut back = Vec::new();
         while self.bars.first().is_some_and(|(until, _)| *until <= now) {
             let Some((_, agent)) = self.bars.pop_first() else {
@@ -194,7 +194,7 @@
     }
 
     /// Workers that are barred now.
-    pub fn barred(&self) -> usize {
+    pub fn barred_count(&self) -> usize {
         self.bars.len()
     }
 
--- a/src/decide/inherit.rs
+++ b/src/decide/inherit.rs
@@ -15,19 +15,19 @@
 use crate::task;
 
 /// How long a new owner waits for members that don't answer its fence.
-pub const PATIENCE: time::Duration = time::Duration::from_millis(1_500);
+pub const REPORT_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 
 /// For how long after its last sight of the table an owner may start ahead of its claims.
-pub const TABLE_SIGHT: time::Duration = time::Duration::from_secs(2);
+pub const TABLE_CONTACT_WINDOW: time::Duration = time::Duration::from_secs(2);
 
 /// Most that two clocks of the system's processes may differ; machines that keep time over the
 /// network differ by a few milliseconds. After a takeover with an agent missing, new work stays
-/// doubtful for [`TABLE_SIGHT`] and twice this, so a generous bound costs answers.
+/// doubtful for [`TABLE_CONTACT_WINDOW`] and twice this, so a generous bound costs answers.
 pub const CLOCK_SKEW: time::Duration = time::Duration::from_millis(500);
 
 /// A claim as it stands in the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Claimed {
+pub struct StoredClaim {
     /// The scoped key.
     pub key: id::JobKey,
     /// Digest of the body.
@@ -39,10 +39,10 @@
     pub at_ms: u64,
 }
 
-impl Claimed {
+impl StoredClaim {
     /// The row's part that a claim becomes.
-    pub fn of(claim: &action::Claim) -> Claimed {
-        Claimed {
+    pub fn of(claim: &action::Claim) -> StoredClaim {
+        StoredClaim {
             key: claim.key.clone(),
             digest: claim.digest,
             tasks: claim.tasks,
@@ -53,7 +53,7 @@
 
 /// A life of an agent as the membership rows tell.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Life {
+pub struct AgentIncarnation {
     /// The agent.
     pub agent: id::AgentId,
     /// Its life.
@@ -62,7 +62,7 @@
 
 /// A life that ended; what it started nobody can tell any more.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LostLife {
+pub struct LostIncarnation {
     /// The life.
     pub incarnation: id::Incarnation,
     /// When its loss was recorded, in milliseconds since the Unix epoch.
@@ -73,7 +73,7 @@
 }
 
 /// Tasks of one job, with the life that remembers each and how it stands there.
-pub type Remembered = BTreeMap<id::TaskIndex, (Life, ledger::Standing)>;
+pub type RememberedTasks = BTreeMap<id::TaskIndex, (AgentIncarnation, ledger::TaskState)>;
 
 /// What was found out about a submission's key.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -83,7 +83,7 @@
     /// An earlier owner accepted it: where its tasks are, and whether the others may be started.
     Known {
         /// Tasks that some agent remembers.
-        tasks: Remembered,
+        tasks: RememberedTasks,
         /// True where tasks that no agent remembers provably never started.
         rest_startable: bool,
     },
@@ -99,10 +99,10 @@
     taken_at: time::Duration,
     doubt_until: time::Duration,
     give_up: time::Instant,
-    awaited: Option<BTreeSet<Life>>,
+    awaited: Option<BTreeSet<AgentIncarnation>>,
     lost: Vec<(time::Duration, bool)>,
-    claims: Option<HashMap<id::JobKey, Claimed>>,
-    seen: HashMap<id::JobKey, Remembered>,
+    claims: Option<HashMap<id::JobKey, StoredClaim>>,
+    seen: HashMap<id::JobKey, RememberedTasks>,
 }
 
 impl Inheritance {
@@ -110,8 +110,8 @@
     pub fn open(now: time::Instant, wall: time::Duration) -> Inheritance {
         Inheritance {
             taken_at: wall,
-            doubt_until: wall + TABLE_SIGHT,
-            give_up: now + PATIENCE,
+            doubt_until: wall + TABLE_CONTACT_WINDOW,
+            give_up: now + REPORT_TIMEOUT,
             awaited: None,
             lost: Vec::new(),
             claims: None,
@@ -120,21 +120,21 @@
     }
 
     /// Notes until when the owner before may have started work ahead of its claims, where that is
-    /// known better than by [`TABLE_SIGHT`] after the takeover.
-    pub fn doubt_until(&mut self, wall: time::Duration) {
+    /// known better than by [`TABLE_CONTACT_WINDOW`] after the takeover.
+    pub fn set_unclaimed_starts_until(&mut self, wall: time::Duration) {
         self.doubt_until = wall;
     }
 
     /// Takes the members, read after the epoch was raised, and the lives that were lost before.
-    pub fn members(
+    pub fn set_members(
         &mut self,
         now: time::Instant,
-        lives: impl IntoIterator<Item = Life>,
-        lost: &[LostLife],
+        lives: impl IntoIterator<Item = AgentIncarnation>,
+        lost: &[LostIncarnation],
     ) {
         self.awaited = Some(lives.into_iter().collect());
-        self.give_up = now + PATIENCE;
-        let recent = |life: &LostLife| {
+        self.give_up = now + REPORT_TIMEOUT;
+        let recent = |life: &LostIncarnation| {
             let at = time::Duration::from_millis(life.at_ms);
             (at + ledger::RETENTION > self.taken_at).then_some((at, life.claimed))
         };
@@ -142,15 +142,15 @@
     }
 
     /// Takes the claims, read after the epoch was raised.
-    pub fn claims(&mut self, claims: impl IntoIterator<Item = Claimed>) {
+    pub fn set_claims(&mut self, claims: impl IntoIterator<Item = StoredClaim>) {
         let by_key = claims.into_iter().map(|claim| (claim.key.clone(), claim));
         self.claims = Some(by_key.collect());
     }
 
     /// Takes the report of an agent that has raised its fence.
-    pub fn report(&mut self, life: &Life, tasks: &[(task::Id, ledger::Standing)]) {
+    pub fn add_report(&mut self, life: &AgentIncarnation, tasks: &[(task::Id, ledger::TaskState)]) {
         for (id, standing) in tasks {
-            if *standing == ledger::Standing::Withdrawn {
+            if *standing == ledger::TaskState::Withdrawn {
                 continue;
             }
             let job = self.seen.entry(id.job.clone()).or_default();
@@ -170,18 +170,18 @@
     }
 
     /// Tells whether an earlier owner's claim or an agent's report names a key.
-    pub fn knows(&self, key: &id::JobKey) -> bool {
+    pub fn knows_key(&self, key: &id::JobKey) -> bool {
         let claimed = self.claims.as_ref();
         claimed.is_some_and(|claims| claims.contains_key(key)) || self.seen.contains_key(key)
     }
 
     /// Members that have not reported.
-    pub fn unaccounted(&self) -> usize {
+    pub fn unreported_members(&self) -> usize {
         self.awaited.as_ref().map_or(0, BTreeSet::len)
     }
 
     /// Tells what is known of a key. `minted` is the time of first use that the key itself tells.
-    pub fn look(&self, key: &id::JobKey, digest: u64, minted: Option<time::Duration>) -> Found {
+    pub fn look_up(&self, key: &id::JobKey, digest: u64, minted: Option<time::Duration>) -> Found {
         let claim = self.claims.as_ref().and_then(|claims| claims.get(key));
         let seen = self.seen.get(key);
         if claim.is_some_and(|claim| claim.digest != digest) {
@@ -203,7 +203,7 @@
 
     /// Tells whether a key without a claim may have been started by an owner before.
     ///
-    /// An owner starts ahead of the claim only keys that were minted at most [`TABLE_SIGHT`] after
+    /// An owner starts ahead of the claim only keys that were minted at most [`TABLE_CONTACT_WINDOW`] after
     /// its last sight of the table, which came before this takeover, and before the end of every
     /// life that it used. So a key that was minted long enough after its sight ended can't have
     /// been, nor one that is younger than every life which can't report. Nothing here depends on
@@ -216,16 +216,16 @@
         if minted >= self.doubt_until + 2 * CLOCK_SKEW {
             return false;
         }
-        let unreachable = (self.unaccounted() > 0).then_some(self.taken_at);
+        let unreachable = (self.unreported_members() > 0).then_some(self.taken_at);
         let unclaimed = self.lost.iter().filter(|(_, claimed)| !claimed);
         let mut ends = unclaimed.map(|(at, _)| *at).chain(unreachable);
-        let slack = TABLE_SIGHT + 2 * CLOCK_SKEW;
+        let slack = TABLE_CONTACT_WINDOW + 2 * CLOCK_SKEW;
         ends.any(|end| minted < end + slack)
     }
 
     /// Tells whether a task of a claim made at that time may have run on a life that is lost.
     fn may_be_lost(&self, claimed_at: Option<time::Duration>) -> bool {
         let since = claimed_at.unwrap_or_default();
-        self.unaccounted() > 0 || self.lost.iter().any(|(at, _)| *at + CLOCK_SKEW > since)
+        self.unreported_members() > 0 || self.lost.iter().any(|(at, _)| *at + CLOCK_SKEW > since)
     }
 }
--- a/src/decide/job.rs
+++ b/src/decide/job.rs
@@ -44,11 +44,11 @@
 
 /// How far the claim of a job has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Claim {
+pub enum ClaimState {
     /// Nothing may start before it is written.
     Awaited,
     /// It is being written while tasks start.
-    Behind,
+    InFlight,
     /// It is in the table.
     Written,
 }
@@ -61,19 +61,19 @@
     /// When its answer becomes worthless.
     pub deadline: time::Instant,
     /// Who waits for its ending.
-    pub waiters: Vec<action::Waiter>,
+    pub waiters: Vec<action::WaiterId>,
     /// Its tasks, by index.
     pub tasks: Vec<Progress>,
     /// Tasks without an answer.
-    pub left: usize,
+    pub unanswered: usize,
     /// Its claim.
-    pub claim: Claim,
+    pub claim: ClaimState,
     /// Starts that were sent in this epoch.
     pub attempts: u32,
     /// Agents that were sent any of its tasks.
     pub agents: BTreeSet<id::AgentId>,
     /// Where its time went so far.
-    pub moments: timing::Moments,
+    pub timestamps: timing::Timestamps,
     /// How it ended, once it has.
     pub ending: Option<Arc<submission::Ending>>,
 }
@@ -84,7 +84,7 @@
         submission: Arc<submission::Submission>,
         now: time::Instant,
         deadline: time::Instant,
-        claim: Claim,
+        claim: ClaimState,
     ) -> Job {
         let tasks = submission.job.tasks.len();
         Job {
@@ -92,18 +92,18 @@
             deadline,
             waiters: Vec::new(),
             tasks: vec![Progress::Waiting; tasks],
-            left: tasks,
+            unanswered: tasks,
             claim,
             attempts: 0,
             agents: BTreeSet::new(),
-            moments: timing::Moments::open(now),
+            timestamps: timing::Timestamps::open(now),
             ending: None,
         }
     }
 
     /// Drops the tasks and their inputs of a complete job. All of them have come back, so nobody asks
     /// for one by its index again; what resubmissions need is the key, the digest and the ending.
-    pub fn release(&mut self) {
+    pub fn release_inputs(&mut self) {
         let whole = &self.submission;
         self.submission = Arc::new(submission::Submission {
             key: whole.key.clone(),
@@ -128,7 +128,7 @@
     }
 
     /// Agents that have tasks of the job without an answer.
-    pub fn holders(&self) -> BTreeSet<id::AgentId> {
+    pub fn agents_holding_tasks(&self) -> BTreeSet<id::AgentId> {
         let holder = |task: &Progress| match task {
             Progress::Sent { agent, .. } | Progress::Inherited { agent } => Some(agent.clone()),
             _ => None,
@@ -137,7 +137,7 @@
     }
 
     /// Bytes of the inputs and of the ending that the job keeps.
-    pub fn bytes(&self) -> usize {
+    pub fn kept_bytes(&self) -> usize {
         let inputs = self.submission.job.tasks.iter();
         let inputs: usize = inputs.map(|task| task.input.get().len()).sum();
         let answers = match self.ending.as_deref() {
@@ -150,8 +150,8 @@
     }
 
     /// The complete answer, once every task has one.
-    pub fn complete(&self) -> Option<submission::Ending> {
-        if self.left > 0 {
+    pub fn complete_answer(&self) -> Option<submission::Ending> {
+        if self.unanswered > 0 {
             return None;
         }
         let answer = |task: &Progress| match task {
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -15,14 +15,14 @@
 use crate::task;
 
 /// How long after its end a submission may be sent again under its key.
-pub const RESUBMIT: time::Duration = time::Duration::from_secs(600);
+pub const RESUBMIT_WINDOW: time::Duration = time::Duration::from_secs(600);
 
 /// How long records, claims and lost lives are remembered.
 ///
 /// A job may end as late as the longest target after its acceptance, with the last event at one
 /// agent early in that time. Whatever tells of it must last until nobody may resubmit any more.
 pub const RETENTION: time::Duration = class::MAX_TARGET
-    .saturating_add(RESUBMIT)
+    .saturating_add(RESUBMIT_WINDOW)
     .saturating_add(time::Duration::from_secs(10));
 
 /// Most bytes of answers that are kept for owners that haven't acknowledged them.
@@ -31,7 +31,7 @@
 /// How a task stands at this agent.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum TaskState {
     /// It was never started here and, having been asked for, never will be.
     Withdrawn,
     /// It was started and runs.
@@ -44,7 +44,7 @@
 
 /// What to do with a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum StartDecision {
     /// Run it; the record is made.
     Run,
     /// The same start came twice; the first one's answer will do.
@@ -54,16 +54,16 @@
 }
 
 /// Orders the starts of one task: by epoch, then by attempt.
-pub type Mark = (id::Epoch, u32);
+pub type StartNumber = (id::Epoch, u32);
 
 /// One task's record.
 #[derive(Clone, Debug)]
 enum Record {
-    Started(Mark),
+    Started(StartNumber),
     Done(task::Outcome, u64),
     Gone,
     /// No start up to this one will be run.
-    Withdrawn(Mark),
+    Withdrawn(StartNumber),
 }
 
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Returns the newest epoch where the hello came from an owner of the past.
-    pub fn fence(&mut self, epoch: id::Epoch) -> Result<(), id::Epoch> {
+    pub fn raise_fence(&mut self, epoch: id::Epoch) -> Result<(), id::Epoch> {
         if epoch < self.epoch {
             return Err(self.epoch);
         }
@@ -124,36 +124,36 @@
         epoch: id::Epoch,
         id: &task::Id,
         attempt: u32,
-    ) -> Verdict {
+    ) -> StartDecision {
         if !self.joined {
-            return Verdict::Refuse(code::Code::NotJoined);
+            return StartDecision::Refuse(code::Code::NotJoined);
         }
         // An owner that was paused past the loss of its cell still believes in its queue. The
         // fence was raised by its successor before the successor decided anything.
         if epoch < self.epoch {
-            return Verdict::Refuse(code::Code::StaleEpoch);
+            return StartDecision::Refuse(code::Code::StaleEpoch);
         }
         let job = self.job(now, &id.job);
         match job.tasks.get(&id.index) {
             // The owner was told that starts up to this one won't run, and may have sent the task
             // elsewhere since.
             Some(Record::Withdrawn(mark)) if (epoch, attempt) <= *mark => {
-                Verdict::Refuse(code::Code::Burned)
+                StartDecision::Refuse(code::Code::Burned)
             }
             Some(Record::Withdrawn(_)) | None if job.closed => {
-                Verdict::Refuse(code::Code::Cancelled)
+                StartDecision::Refuse(code::Code::Cancelled)
             }
             Some(Record::Withdrawn(_)) | None => {
                 let record = Record::Started((epoch, attempt));
                 job.tasks.insert(id.index, record);
-                Verdict::Run
+                StartDecision::Run
             }
-            Some(_) => Verdict::Duplicate,
+            Some(_) => StartDecision::Duplicate,
         }
     }
 
     /// Refuses a task's starts up to this one, unless it was started. Tells whether it refused.
-    pub fn withdraw(&mut self, now: time::Instant, id: &task::Id, mark: Mark) -> bool {
+    pub fn withdraw(&mut self, now: time::Instant, id: &task::Id, mark: StartNumber) -> bool {
         let tasks = &mut self.job(now, &id.job).tasks;
         let record = tasks.entry(id.index).or_insert(Record::Withdrawn(mark));
         match record {
@@ -167,7 +167,7 @@
 
     /// Takes back a start that turned out not to have run, so that it may run elsewhere. Returns
     /// which start it was.
-    pub fn unstart(&mut self, now: time::Instant, id: &task::Id) -> order::Attempt {
+    pub fn revert_start(&mut self, now: time::Instant, id: &task::Id) -> order::Attempt {
         let tasks = &mut self.job(now, &id.job).tasks;
         let mut attempt = 0;
         if let Some(Record::Started(mark)) = tasks.get(&id.index) {
@@ -210,7 +210,7 @@
         now: time::Instant,
         epoch: id::Epoch,
         asked: &[order::Attempt],
-    ) -> Vec<(order::Attempt, Standing)> {
+    ) -> Vec<(order::Attempt, TaskState)> {
         if epoch < self.epoch || !self.joined {
             return Vec::new();
         }
@@ -274,7 +274,7 @@
     }
 
     /// Everything that this agent started and remembers.
-    pub fn report(&self) -> Vec<(task::Id, Standing)> {
+    pub fn task_states(&self) -> Vec<(task::Id, TaskState)> {
         let mut tasks = Vec::new();
         for (job, record) in &self.jobs {
             for (index, task) in &record.tasks {
@@ -289,7 +289,7 @@
     }
 
     /// Forgets jobs that nobody touched for [`RETENTION`] and that run nothing.
-    pub fn sweep(&mut self, now: time::Instant) {
+    pub fn forget_expired(&mut self, now: time::Instant) {
         let mut freed = 0;
         self.jobs.retain(|_, job| {
             let running = job.tasks.values().any(|t| matches!(t, Record::Started(_)));
@@ -346,12 +346,12 @@
 }
 
 impl Record {
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> TaskState {
         match self {
-            Record::Started(_) => Standing::Started,
-            Record::Done(..) => Standing::Done,
-            Record::Gone => Standing::Gone,
-            Record::Withdrawn(_) => Standing::Withdrawn,
+            Record::Started(_) => TaskState::Started,
+            Record::Done(..) => TaskState::Done,
+            Record::Gone => TaskState::Gone,
+            Record::Withdrawn(_) => TaskState::Withdrawn,
         }
     }
 
--- a/src/decide/line.rs
+++ b/src/decide/line.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time;
 
-use crate::decide::waiting::Waiting;
+use crate::decide::waiting::WaitingTask;
 use crate::id;
 
 /// Wait, as a share of a job's longest task, after which the job counts as due.
@@ -11,7 +11,7 @@
 
 /// By what the jobs of a line are ordered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Rule {
+pub enum JobOrder {
     /// By when the next task must start for the whole job to stay near its ideal time.
     Slack,
     /// By deadline and the work that is left, so that among jobs of one target the one that can end
@@ -34,24 +34,24 @@
     /// Work of the waiting tasks.
     left: time::Duration,
     /// Shortest first, so that the longest is taken from the end.
-    tasks: Vec<Waiting>,
+    tasks: Vec<WaitingTask>,
 }
 
 impl Job {
-    fn rank(&self, rule: Rule) -> Place {
+    fn rank(&self, rule: JobOrder) -> Place {
         let next = self.tasks.last().map_or(self.longest, |task| task.estimate);
         match rule {
-            Rule::Slack => {
+            JobOrder::Slack => {
                 let slack = self.longest.mul_f64(1.0 + PATIENCE).saturating_sub(next);
                 let due = (self.arrived + slack).min(self.deadline);
                 (due, self.arrival)
             }
-            Rule::Deadline => {
+            JobOrder::Deadline => {
                 // Bounded, so that no declared run time puts a job off for ever.
                 let target = self.deadline.saturating_duration_since(self.arrived);
                 (self.deadline + self.left.min(target), self.arrival)
             }
-            Rule::Arrival => (self.arrived, self.arrival),
+            JobOrder::Arrival => (self.arrived, self.arrival),
         }
     }
 }
@@ -59,7 +59,7 @@
 /// The line.
 #[derive(Clone, Debug)]
 pub struct Line {
-    rule: Rule,
+    rule: JobOrder,
     order: BTreeMap<Place, id::JobKey>,
     jobs: HashMap<id::JobKey, Job>,
     arrivals: u64,
@@ -67,7 +67,7 @@
 
 impl Line {
     /// Opens an empty line.
-    pub fn open(rule: Rule) -> Line {
+    pub fn open(rule: JobOrder) -> Line {
         Line {
             rule,
             order: BTreeMap::new(),
@@ -82,7 +82,7 @@
         now: time::Instant,
         key: &id::JobKey,
         deadline: time::Instant,
-        tasks: Vec<Waiting>,
+        tasks: Vec<WaitingTask>,
     ) {
         self.arrivals += 1;
         let arrival = self.arrivals;
@@ -109,7 +109,7 @@
     }
 
     /// Takes the next task, and tells its job's deadline.
-    pub fn pop(&mut self) -> Option<(time::Instant, Waiting)> {
+    pub fn pop(&mut self) -> Option<(time::Instant, WaitingTask)> {
         let (place, key) = self.order.pop_first()?;
         let job = self.jobs.get_mut(&key).expect("a listed job has an entry");
         let task = job.tasks.pop().expect("a listed job has tasks");
@@ -126,14 +126,14 @@
     }
 
     /// Takes a job's tasks away, in one step however many they are.
-    pub fn remove(&mut self, key: &id::JobKey) -> Option<(time::Instant, Vec<Waiting>)> {
+    pub fn remove(&mut self, key: &id::JobKey) -> Option<(time::Instant, Vec<WaitingTask>)> {
         let job = self.jobs.remove(key)?;
         self.order.remove(&job.place);
         Some((job.deadline, job.tasks))
     }
 
     /// Changes by what the jobs are ordered.
-    pub fn order_by(&mut self, rule: Rule) {
+    pub fn set_job_order(&mut self, rule: JobOrder) {
         if self.rule == rule {
             return;
         }
@@ -146,7 +146,7 @@
     }
 
     /// The moment by which the first job is ordered.
-    pub fn head(&self) -> Option<time::Instant> {
+    pub fn first_due(&self) -> Option<time::Instant> {
         self.order.first_key_value().map(|((due, _), _)| *due)
     }
 
--- a/src/decide/notice.rs
+++ b/src/decide/notice.rs
@@ -22,7 +22,7 @@
     /// The starts of a task up to this one were refused; nothing ran.
     Refused(order::Attempt, code::Code),
     /// How a task stands that the owner asked for, and up to which start that holds.
-    Standing(order::Attempt, ledger::Standing),
+    Standing(order::Attempt, ledger::TaskState),
     /// The state of the backend server changed, or nothing else was said for a while.
     Heartbeat,
 }
@@ -37,7 +37,7 @@
     /// Its rack.
     pub rack: CompactString,
     /// All tasks of the cell that it remembers.
-    pub tasks: Vec<(task::Id, ledger::Standing)>,
+    pub tasks: Vec<(task::Id, ledger::TaskState)>,
 }
 
 /// The load of an agent and what its backend server offers.
--- a/src/decide/owner/admission.rs
+++ b/src/decide/owner/admission.rs
@@ -34,11 +34,11 @@
         &mut self,
         now: time::Instant,
         submission: Arc<submission::Submission>,
-        waiter: action::Waiter,
+        waiter: action::WaiterId,
     ) {
         let work = self.estimate_work(&submission.job);
         let account = &submission.job.client_account;
-        self.demand.offer(now, account, work.seconds);
+        self.demand.record_offer(now, account, work.seconds);
         self.reclassify_accounts(now);
         let target = match self.check_admission(now, &submission, &work) {
             Ok(target) => target,
@@ -47,11 +47,11 @@
                 return;
             }
         };
-        let ahead = self.must_claim_ahead(now, &submission);
-        let claim = if ahead {
-            job::Claim::Awaited
+        let blocks_starts = self.must_claim_ahead(now, &submission);
+        let claim = if blocks_starts {
+            job::ClaimState::Awaited
         } else {
-            job::Claim::Behind
+            job::ClaimState::InFlight
         };
         let mut job = job::Job::open(submission.clone(), now, now + target, claim);
         job.waiters.push(waiter);
@@ -59,13 +59,13 @@
             key: submission.key.clone(),
             digest: submission.digest,
             tasks: submission.job.tasks.len() as u32,
-            ahead,
+            blocks_starts,
             at_ms: self.wall_clock(now).as_millis() as u64,
         }));
         self.deadlines
             .insert((job.deadline, submission.key.clone()));
         self.jobs.insert(submission.key.clone(), job);
-        if !ahead {
+        if !blocks_starts {
             self.enqueue(now, &submission.key);
         }
     }
@@ -97,7 +97,7 @@
             return Err(refusal::Refusal::new(code::Code::NeverRunnable));
         }
         if let Some(quota) = self.config.document.quota(&job.client_account) {
-            let waiting = self.queue.waiting(&job.client_account) + job.tasks.len();
+            let waiting = self.queue.waiting_tasks(&job.client_account) + job.tasks.len();
             if waiting as i64 > quota.waiting_tasks {
                 let wait = self.expected_wait(&job.client_account);
                 return Err(refusal::Refusal::new(code::Code::OverQuota).retry_after(wait));
@@ -119,7 +119,7 @@
 
     /// Tells whether all tasks of a job can start at once, so that its wait needn't be estimated.
     fn can_start_at_once(&self, job: &submission::Job) -> bool {
-        let waiting = self.queue.waiting(&job.client_account);
+        let waiting = self.queue.waiting_tasks(&job.client_account);
         waiting == 0 && self.fleet.free_slots() as usize >= job.tasks.len()
     }
 
@@ -139,8 +139,10 @@
         }
         // The bound on the estimate guarantees that a wrong estimate alone never refuses a job
         // that arrives while the system is idle.
-        let longest = work.longest.min(target.mul_f64(backlog::HEADROOM / 2.0));
-        let share = self.demand.share(account);
+        let longest = work
+            .longest
+            .min(target.mul_f64(backlog::PLANNED_TARGET_SHARE / 2.0));
+        let share = self.demand.heavy_share(account);
         if let (Some(rate), false) = (share, self.policy.queue == queue::Policy::Fifo) {
             let deadline = now + target;
             return self
@@ -148,7 +150,7 @@
                 .lateness(now, account, deadline, longest, work.seconds, rate);
         }
         let wait = self.expected_wait(account).as_secs_f64() + longest.as_secs_f64();
-        let late = wait - backlog::HEADROOM * target.as_secs_f64();
+        let late = wait - backlog::PLANNED_TARGET_SHARE * target.as_secs_f64();
         time::Duration::from_secs_f64(late.max(0.0))
     }
 
@@ -158,13 +160,14 @@
         if slots == 0.0 {
             return time::Duration::ZERO;
         }
-        let seconds = match (self.policy.queue, self.demand.share(account)) {
-            (queue::Policy::Fifo, _) => self.queue.seconds() / slots,
-            (_, Some(rate)) => self.queue.backlog(account) / rate,
+        let seconds = match (self.policy.queue, self.demand.heavy_share(account)) {
+            (queue::Policy::Fifo, _) => self.queue.total_seconds() / slots,
+            (_, Some(rate)) => self.queue.backlog_seconds(account) / rate,
             // The client account's own backlog bounds its wait, whatever run times other client
             // accounts declare for their tasks.
             (_, None) => {
-                let own = self.queue.backlog(account) * (self.demand.light() + 1) as f64;
+                let own =
+                    self.queue.backlog_seconds(account) * (self.demand.light_count() + 1) as f64;
                 self.queue.light_seconds().min(own) / slots
             }
         };
@@ -180,7 +183,7 @@
         for task in &job.tasks {
             let run = self
                 .estimates
-                .guess(&job.client_account, &task.kind, task.run_ms);
+                .estimate(&job.client_account, &task.kind, task.run_ms);
             work.seconds += run.as_secs_f64();
             work.longest = work.longest.max(run);
         }
@@ -189,8 +192,8 @@
 
     /// Reclassifies client accounts as light or heavy by their recent demand, if that is due.
     pub(super) fn reclassify_accounts(&mut self, now: time::Instant) {
-        for (account, light) in self.demand.refresh(now, self.fleet.slots()) {
-            self.queue.classify(&account, light);
+        for (account, light) in self.demand.classify(now, self.fleet.slots()) {
+            self.queue.set_light(&account, light);
         }
     }
 
@@ -199,15 +202,16 @@
     /// A start without a written claim is safe only if a later owner can see from the key that the
     /// job may have been started: the key has to contain the time at which it was minted, and the
     /// work has to be idempotent. A later owner would take the key for new if that time is more
-    /// than [`inherit::TABLE_SIGHT`] after this owner's last proof of ownership. This happens if
+    /// than [`inherit::TABLE_CONTACT_WINDOW`] after this owner's last proof of ownership. This happens if
     /// the caller's clock is ahead, or if this process was paused without noticing.
     pub(super) fn must_claim_ahead(
         &self,
         now: time::Instant,
         submission: &submission::Submission,
     ) -> bool {
-        let proof_is_fresh = now.saturating_duration_since(self.last_proof) < inherit::TABLE_SIGHT;
-        let latest_minted = self.wall_clock(self.last_proof) + inherit::TABLE_SIGHT;
+        let proof_is_fresh =
+            now.saturating_duration_since(self.last_proof) < inherit::TABLE_CONTACT_WINDOW;
+        let latest_minted = self.wall_clock(self.last_proof) + inherit::TABLE_CONTACT_WINDOW;
         let minted = submission.minted_ms.map(time::Duration::from_millis);
         let age_is_known = minted.is_some_and(|minted| minted <= latest_minted);
         self.policy.claims_ahead || !submission.idempotent || !age_is_known || !proof_is_fresh
--- a/src/decide/owner/agents.rs
+++ b/src/decide/owner/agents.rs
@@ -24,11 +24,11 @@
         welcome: notice::Welcome,
         load: notice::Load,
     ) {
-        let life = inherit::Life {
+        let life = inherit::AgentIncarnation {
             agent: id.clone(),
             incarnation: welcome.incarnation,
         };
-        self.inheritance.report(&life, &welcome.tasks);
+        self.inheritance.add_report(&life, &welcome.tasks);
         let known = self
             .fleet
             .get(id)
@@ -64,7 +64,7 @@
 
     /// Updates an agent's load, which is sent along with its messages.
     pub fn update_load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
-        self.fleet.load(now, id, load);
+        self.fleet.set_load(now, id, load);
         self.dispatch(now);
     }
 
@@ -88,7 +88,7 @@
     /// Notes that the link to an agent is lost. The agent keeps its tasks until it has been silent
     /// for [`owner::AGENT_LOST_AFTER`].
     pub fn agent_link_lost(&mut self, now: time::Instant, id: &id::AgentId) {
-        self.fleet.silence(now, id);
+        self.fleet.mark_silent(now, id);
     }
 
     /// Gives an agent up as lost: jobs with tasks that it may have started fail with an unknown
@@ -110,8 +110,8 @@
                 self.give_up_agent(now, &id);
             }
         }
-        for id in self.health.due(now) {
-            self.fleet.limit(&id, self.health.limit(&id));
+        for id in self.health.end_due_bars(now) {
+            self.fleet.set_limit(&id, self.health.limit(&id));
         }
     }
 
@@ -122,16 +122,16 @@
         now: time::Instant,
         agent: &id::AgentId,
         asked: &order::Attempt,
-        standing: ledger::Standing,
+        standing: ledger::TaskState,
     ) {
         let id = &asked.id;
         match standing {
-            ledger::Standing::Withdrawn => {
+            ledger::TaskState::Withdrawn => {
                 self.requeue(now, agent, asked, code::Code::Burned);
             }
             // The answer follows or has arrived already.
-            ledger::Standing::Started | ledger::Standing::Done => {}
-            ledger::Standing::Gone => {
+            ledger::TaskState::Started | ledger::TaskState::Done => {}
+            ledger::TaskState::Gone => {
                 if self.release_task(now, agent, id, None).is_some() {
                     self.fail_job(now, &id.job, code::Code::AnswerGone);
                 }
--- a/src/decide/owner/endings.rs
+++ b/src/decide/owner/endings.rs
@@ -19,7 +19,7 @@
     pub(super) fn attach_waiter(
         &mut self,
         submission: &submission::Submission,
-        waiter: action::Waiter,
+        waiter: action::WaiterId,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(&submission.key) else {
             return self.refuse_evicted(submission, waiter);
@@ -42,7 +42,7 @@
     fn refuse_evicted(
         &mut self,
         submission: &submission::Submission,
-        waiter: action::Waiter,
+        waiter: action::WaiterId,
     ) -> bool {
         let Some(digest) = self.evicted.get(&submission.key) else {
             return false;
@@ -58,8 +58,8 @@
 
     /// Cancels a job that this owner doesn't have: one of an earlier owner that nobody has
     /// submitted again yet, or one that never existed. The reply says that the outcome is unknown.
-    pub(super) fn cancel_unknown(&mut self, key: &id::JobKey, waiter: action::Waiter) {
-        if self.inheritance.knows(key) {
+    pub(super) fn cancel_unknown(&mut self, key: &id::JobKey, waiter: action::WaiterId) {
+        if self.inheritance.knows_key(key) {
             for agent in self.fleet.agents().keys() {
                 let order = order::Order::Cancel(key.clone());
                 self.actions.push(Action::Order(agent.clone(), order));
@@ -70,7 +70,7 @@
     }
 
     /// Replies to a waiter with a refusal.
-    pub(super) fn refuse(&mut self, waiter: action::Waiter, refusal: refusal::Refusal) {
+    pub(super) fn refuse(&mut self, waiter: action::WaiterId, refusal: refusal::Refusal) {
         let ending = Arc::new(submission::Ending::Failed(refusal));
         self.actions.push(Action::Reply(waiter, ending));
     }
@@ -97,7 +97,7 @@
             job.tasks[task.id.index as usize] = Progress::Dropped;
         }
         // Each agent that still has tasks of the job gets one order for all of them.
-        for agent in job.holders() {
+        for agent in job.agents_holding_tasks() {
             self.actions
                 .push(Action::Order(agent, order::Order::Cancel(key.clone())));
         }
@@ -106,7 +106,7 @@
         if ran_nothing {
             // No task ran, so the job is removed and a retry under the same key is a new job.
             if let Some(job) = self.jobs.remove(key) {
-                self.kept_bytes -= job.bytes();
+                self.kept_bytes -= job.kept_bytes();
             }
             self.ended.pop_back();
             self.unacknowledged.pop_back();
@@ -136,10 +136,10 @@
             }
         }
         if matches!(*ending, submission::Ending::Complete(_)) {
-            job.release();
+            job.release_inputs();
         }
         self.deadlines.remove(&(job.deadline, key.clone()));
-        self.kept_bytes += job.bytes();
+        self.kept_bytes += job.kept_bytes();
         self.ended.push_back((now, key.clone()));
         self.unacknowledged.push_back((now, key.clone()));
     }
@@ -152,7 +152,8 @@
                 return;
             }
             let job = self.jobs.get(key);
-            if job.is_some_and(|job| job.claim != job::Claim::Written && job.ending.is_some()) {
+            if job.is_some_and(|job| job.claim != job::ClaimState::Written && job.ending.is_some())
+            {
                 // As long as the claim isn't in the table, only the agents' records show that the
                 // job ran.
                 let later = (now, key.clone());
@@ -183,7 +184,7 @@
             }
             let has_ended = self.jobs.get(key).is_some_and(|job| job.ending.is_some());
             if let Some(job) = has_ended.then(|| self.jobs.remove(key)).flatten() {
-                self.kept_bytes -= job.bytes();
+                self.kept_bytes -= job.kept_bytes();
                 self.evicted.insert(key.clone(), job.submission.digest);
                 self.evicted_order.push_back((*at, key.clone()));
             }
@@ -211,8 +212,8 @@
         traceparent: job.submission.traceparent.clone()?,
         key: job.submission.key.clone(),
         tasks: job.tasks.len(),
-        submitted: job.moments.submitted,
-        startable: job.moments.startable,
+        submitted: job.timestamps.submitted,
+        startable: job.timestamps.startable,
         ended: now,
         failure: ending.failure(),
     }))
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -40,7 +40,7 @@
 pub const ACKNOWLEDGE_AFTER: time::Duration = time::Duration::from_secs(10);
 
 /// How long the ending of a job is kept for resubmissions.
-pub const ENDING_RETENTION: time::Duration = ledger::RESUBMIT;
+pub const ENDING_RETENTION: time::Duration = ledger::RESUBMIT_WINDOW;
 
 /// Most ended jobs whose endings are kept. Of older ones only key and digest are kept, until
 /// [`ENDING_RETENTION`] is over.
@@ -75,7 +75,7 @@
     /// Whether enough is known of earlier owners' work to look submissions up.
     ready: bool,
     /// Submissions that arrived before the owner was ready.
-    deferred: Vec<(Arc<submission::Submission>, action::Waiter)>,
+    deferred: Vec<(Arc<submission::Submission>, action::WaiterId)>,
     jobs: HashMap<id::JobKey, job::Job>,
     /// Deadlines of the jobs that have not ended.
     deadlines: BTreeSet<(time::Instant, id::JobKey)>,
@@ -157,7 +157,8 @@
     /// the pause.
     pub fn set_takeover(&mut self, begun: time::Instant, unclaimed_starts_until: time::Duration) {
         self.last_proof = begun;
-        self.inheritance.doubt_until(unclaimed_starts_until);
+        self.inheritance
+            .set_unclaimed_starts_until(unclaimed_starts_until);
     }
 
     /// The epoch in which this owner owns the cell; its orders are fenced with it.
@@ -208,16 +209,16 @@
     pub fn set_members(
         &mut self,
         now: time::Instant,
-        lives: Vec<inherit::Life>,
-        lost: &[inherit::LostLife],
+        lives: Vec<inherit::AgentIncarnation>,
+        lost: &[inherit::LostIncarnation],
     ) {
-        self.inheritance.members(now, lives, lost);
+        self.inheritance.set_members(now, lives, lost);
         self.become_ready(now);
     }
 
     /// Sets the claims of earlier owners, as read from the table after the epoch was raised.
-    pub fn set_earlier_claims(&mut self, now: time::Instant, claims: Vec<inherit::Claimed>) {
-        self.inheritance.claims(claims);
+    pub fn set_earlier_claims(&mut self, now: time::Instant, claims: Vec<inherit::StoredClaim>) {
+        self.inheritance.set_claims(claims);
         self.become_ready(now);
     }
 
@@ -227,7 +228,7 @@
         &mut self,
         now: time::Instant,
         submission: Arc<submission::Submission>,
-        waiter: action::Waiter,
+        waiter: action::WaiterId,
     ) {
         if !self.ready {
             self.deferred.push((submission, waiter));
@@ -239,7 +240,7 @@
         let minted = submission.minted_ms.map(time::Duration::from_millis);
         match self
             .inheritance
-            .look(&submission.key, submission.digest, minted)
+            .look_up(&submission.key, submission.digest, minted)
         {
             inherit::Found::Fresh => self.admit(now, submission, waiter),
             inherit::Found::Known {
@@ -259,7 +260,7 @@
     }
 
     /// Cancels a job; the reply to the waiter says how the job ended.
-    pub fn cancel(&mut self, now: time::Instant, key: &id::JobKey, waiter: action::Waiter) {
+    pub fn cancel(&mut self, now: time::Instant, key: &id::JobKey, waiter: action::WaiterId) {
         let Some(job) = self.jobs.get_mut(key) else {
             self.cancel_unknown(key, waiter);
             return;
@@ -284,8 +285,8 @@
             if job.submission.digest != *digest {
                 continue;
             }
-            let awaited = job.claim == job::Claim::Awaited;
-            job.claim = job::Claim::Written;
+            let awaited = job.claim == job::ClaimState::Awaited;
+            job.claim = job::ClaimState::Written;
             if awaited && job.ending.is_none() {
                 self.enqueue(now, key);
             }
@@ -299,7 +300,7 @@
             let awaited = self
                 .jobs
                 .get(key)
-                .is_some_and(|job| job.claim == job::Claim::Awaited);
+                .is_some_and(|job| job.claim == job::ClaimState::Awaited);
             if awaited {
                 self.fail_job(now, key, reason);
             }
--- a/src/decide/owner/resume.rs
+++ b/src/decide/owner/resume.rs
@@ -26,13 +26,18 @@
         &mut self,
         now: time::Instant,
         submission: Arc<submission::Submission>,
-        waiter: action::Waiter,
-        tasks: inherit::Remembered,
+        waiter: action::WaiterId,
+        tasks: inherit::RememberedTasks,
         rest_startable: bool,
     ) {
         let class = self.config.document.class(&submission.job.class);
         let target = class.map_or(class::MAX_TARGET, class::Class::target);
-        let mut job = job::Job::open(submission.clone(), now, now + target, job::Claim::Written);
+        let mut job = job::Job::open(
+            submission.clone(),
+            now,
+            now + target,
+            job::ClaimState::Written,
+        );
         job.waiters.push(waiter);
         let key = submission.key.clone();
         let mut asked: HashMap<id::AgentId, Vec<order::Attempt>> = HashMap::new();
@@ -42,7 +47,7 @@
             let Some(progress) = job.tasks.get_mut(*index as usize) else {
                 continue;
             };
-            answer_gone |= *standing == ledger::Standing::Gone;
+            answer_gone |= *standing == ledger::TaskState::Gone;
             // Guards against an incarnation of an agent that reported a task and then ended. The
             // agent's next incarnation doesn't know the task and would answer that it may be
             // started, so it would run twice.
@@ -86,7 +91,7 @@
     }
 
     /// Tells whether an incarnation of an agent is the one that this owner is linked to.
-    fn is_current_incarnation(&self, life: &inherit::Life) -> bool {
+    fn is_current_incarnation(&self, life: &inherit::AgentIncarnation) -> bool {
         let agent = self.fleet.get(&life.agent);
         agent.is_some_and(|agent| agent.incarnation == life.incarnation)
     }
--- a/src/decide/owner/tasks.rs
+++ b/src/decide/owner/tasks.rs
@@ -45,7 +45,7 @@
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.moments.startable = Some(now);
+        job.timestamps.startable = Some(now);
         let job = &self.jobs[key];
         let mut waiting = Vec::new();
         for (index, progress) in job.tasks.iter().enumerate() {
@@ -55,31 +55,35 @@
         }
         let account = job.submission.job.client_account.clone();
         for task in &waiting {
-            self.fleet.list(&task.needs);
+            self.fleet.index_needs(&task.needs);
         }
         self.queue.push(now, &account, key, job.deadline, waiting);
     }
 
     /// Tells whether a job of which no task was started can't meet its deadline any more, even if
     /// the next task takes only half of its estimate.
-    fn is_too_late(&self, now: time::Instant, waiting: &waiting::Waiting) -> bool {
+    fn is_too_late(&self, now: time::Instant, waiting: &waiting::WaitingTask) -> bool {
         self.jobs
             .get(&waiting.id.job)
             .is_some_and(|job| job.agents.is_empty() && now + waiting.estimate / 2 > job.deadline)
     }
 
     /// Builds the queue entry of a job's task, with a new estimate of its run time.
-    pub(super) fn waiting_task(&self, job: &job::Job, index: id::TaskIndex) -> waiting::Waiting {
+    pub(super) fn waiting_task(
+        &self,
+        job: &job::Job,
+        index: id::TaskIndex,
+    ) -> waiting::WaitingTask {
         let declared = &job.submission.job.tasks[index as usize];
         let account = &job.submission.job.client_account;
-        waiting::Waiting {
+        waiting::WaitingTask {
             id: task::Id {
                 job: job.submission.key.clone(),
                 index,
             },
             estimate: self
                 .estimates
-                .guess(account, &declared.kind, declared.run_ms),
+                .estimate(account, &declared.kind, declared.run_ms),
             needs: declared.needs,
         }
     }
@@ -89,7 +93,7 @@
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
-        waiting: &waiting::Waiting,
+        waiting: &waiting::WaitingTask,
     ) {
         let id = &waiting.id;
         let job = self
@@ -101,7 +105,7 @@
             agent: agent.clone(),
             attempt: job.attempts + 1,
             at: now,
-            queued: job.moments.queued(id.index),
+            queued: job.timestamps.queued_at(id.index),
             estimate: waiting.estimate,
         };
         job.agents.insert(agent.clone());
@@ -123,9 +127,9 @@
             .entry(agent.clone())
             .or_default()
             .insert(id.clone());
-        self.fleet.book(agent, &waiting.needs);
+        self.fleet.reserve(agent, &waiting.needs);
         self.retries.earn();
-        self.queue.started(&account);
+        self.queue.record_start(&account);
         self.queue
             .charge(now, &account, waiting.estimate.as_secs_f64());
     }
@@ -153,8 +157,8 @@
         match answer.outcome {
             task::Outcome::Done(value) => {
                 job.tasks[index] = Progress::Done(value);
-                job.left -= 1;
-                if let Some(ending) = job.complete() {
+                job.unanswered -= 1;
+                if let Some(ending) = job.complete_answer() {
                     self.end_job(now, key, ending);
                 }
             }
@@ -230,7 +234,7 @@
             return;
         }
         job.tasks[index] = Progress::Waiting;
-        job.moments.requeued.insert(id.index, now);
+        job.timestamps.requeued.insert(id.index, now);
         if !self.retries.spend() {
             self.fail_job(now, &id.job, reason);
             return;
@@ -327,7 +331,7 @@
         let account = &job.submission.job.client_account;
         let workers = self.fleet.agents().len();
         let limit = self.health.observe(now, agent, account, outcome, workers);
-        self.fleet.limit(agent, limit);
+        self.fleet.set_limit(agent, limit);
     }
 }
 
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Client accounts that together fit beside the largest ones are light ([`demand`](crate::decide::demand)
 //! tells); their tasks go first, the one with the least slack before the others. The heavy ones
-//! share what is left by used slot time, which fades with a time constant of [`usage::FADE`].
+//! share what is left by used slot time, which fades with a time constant of [`usage::DECAY_TIME`].
 //! `docs/design/queue.md` compares this with the baselines.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -14,7 +14,7 @@
 use crate::decide::line;
 use crate::decide::shape::{self, Rank};
 use crate::decide::usage;
-use crate::decide::waiting::Waiting;
+use crate::decide::waiting::WaitingTask;
 use crate::id;
 use crate::task;
 
@@ -50,7 +50,7 @@
 pub struct Queue {
     policy: Policy,
     opened: time::Instant,
-    shapes: BTreeMap<task::Needs, shape::Shape>,
+    shapes: BTreeMap<task::Needs, shape::NeedsGroup>,
     jobs: HashMap<id::JobKey, Job>,
     heavy: HashSet<id::ClientAccount>,
     usage: usage::Usage,
@@ -87,7 +87,7 @@
         account: &id::ClientAccount,
         job: &id::JobKey,
         deadline: time::Instant,
-        tasks: Vec<Waiting>,
+        tasks: Vec<WaitingTask>,
     ) {
         let Some(first) = tasks.first() else {
             return;
@@ -98,7 +98,7 @@
             self.push_shape(now, account, job, deadline, needs, tasks);
             return;
         }
-        let mut by_needs: HashMap<task::Needs, Vec<Waiting>> = HashMap::new();
+        let mut by_needs: HashMap<task::Needs, Vec<WaitingTask>> = HashMap::new();
         for task in tasks {
             by_needs.entry(task.needs).or_default().push(task);
         }
@@ -114,7 +114,7 @@
         key: &id::JobKey,
         deadline: time::Instant,
         needs: task::Needs,
-        tasks: Vec<Waiting>,
+        tasks: Vec<WaitingTask>,
     ) {
         let job = self.jobs.entry(key.clone()).or_insert_with(|| Job {
             client_account: account.clone(),
@@ -137,13 +137,13 @@
     }
 
     /// Takes the next task among those whose needs have room.
-    pub fn pop(&mut self, has_room: impl Fn(&task::Needs) -> bool) -> Option<Waiting> {
+    pub fn pop(&mut self, has_room: impl Fn(&task::Needs) -> bool) -> Option<WaitingTask> {
         let yields = self.light_run >= LIGHT_RUN;
         let heads = self.shapes.iter().filter_map(|(needs, shape)| {
             let (rank, name) = shape.head(yields)?;
             has_room(needs).then_some((rank, name, *needs))
         });
-        let (_, name, needs) = heads.min_by_key(|(rank, ..)| rank.order(yields))?;
+        let (_, name, needs) = heads.min_by_key(|(rank, ..)| rank.sort_key(yields))?;
         let name = name.clone();
         let shape = self.shapes.get_mut(&needs)?;
         let (_, line) = shape.lines.get_mut(&name)?;
@@ -160,7 +160,7 @@
     }
 
     /// Takes a job's waiting tasks away.
-    pub fn remove(&mut self, key: &id::JobKey) -> Vec<Waiting> {
+    pub fn remove(&mut self, key: &id::JobKey) -> Vec<WaitingTask> {
         let Some(job) = self.jobs.remove(key) else {
             return Vec::new();
         };
@@ -197,7 +197,7 @@
     }
 
     /// Notes that a client account's task was started.
-    pub fn started(&mut self, account: &id::ClientAccount) {
+    pub fn record_start(&mut self, account: &id::ClientAccount) {
         if self.heavy.contains(account) {
             self.light_run = 0;
         } else {
@@ -206,11 +206,11 @@
     }
 
     /// Notes whether a client account is light from now on.
-    pub fn classify(&mut self, account: &id::ClientAccount, light: bool) {
+    pub fn set_light(&mut self, account: &id::ClientAccount, light: bool) {
         if self.policy != Policy::Fair {
             return;
         }
-        let seconds = self.backlog(account);
+        let seconds = self.backlog_seconds(account);
         if light && self.heavy.remove(account) {
             self.light_seconds += seconds;
         } else if !light && self.heavy.insert(account.clone()) {
@@ -221,7 +221,7 @@
         for needs in shapes {
             let shape = self.shapes.get_mut(&needs);
             if let Some((_, line)) = shape.and_then(|shape| shape.lines.get_mut(account)) {
-                line.order_by(rule);
+                line.set_job_order(rule);
             }
             self.settle(&needs, account);
         }
@@ -238,21 +238,21 @@
     }
 
     /// Waiting tasks of a client account.
-    pub fn waiting(&self, account: &id::ClientAccount) -> usize {
+    pub fn waiting_tasks(&self, account: &id::ClientAccount) -> usize {
         self.backlogs
             .get(account)
             .map_or(0, backlog::Backlog::tasks)
     }
 
     /// Slot time that a client account's waiting tasks are thought to take, in seconds.
-    pub fn backlog(&self, account: &id::ClientAccount) -> f64 {
+    pub fn backlog_seconds(&self, account: &id::ClientAccount) -> f64 {
         self.backlogs
             .get(account)
             .map_or(0.0, backlog::Backlog::seconds)
     }
 
     /// Slot time that all waiting tasks are thought to take, in seconds.
-    pub fn seconds(&self) -> f64 {
+    pub fn total_seconds(&self) -> f64 {
         self.seconds
     }
 
@@ -289,7 +289,12 @@
     }
 
     /// Books waiting tasks on their client account.
-    fn note(&mut self, account: &id::ClientAccount, deadline: time::Instant, tasks: &[Waiting]) {
+    fn note(
+        &mut self,
+        account: &id::ClientAccount,
+        deadline: time::Instant,
+        tasks: &[WaitingTask],
+    ) {
         let seconds: f64 = tasks.iter().map(|task| task.estimate.as_secs_f64()).sum();
         let deadline = self.since_opened(deadline);
         let backlog = self.backlogs.entry(account.clone()).or_default();
@@ -326,9 +331,9 @@
 
     /// Lists a line where it stands now, or drops it once it is empty.
     fn settle(&mut self, needs: &task::Needs, name: &id::ClientAccount) {
-        let rank_of = |line: &line::Line| match (self.policy, line.head()) {
+        let rank_of = |line: &line::Line| match (self.policy, line.first_due()) {
             (Policy::Fair, Some(due)) if !self.heavy.contains(name) => Rank::Light(due),
-            _ => Rank::Heavy(self.usage.of(name).to_bits()),
+            _ => Rank::Heavy(self.usage.used_by(name).to_bits()),
         };
         let Some(shape) = self.shapes.get_mut(needs) else {
             return;
@@ -351,11 +356,11 @@
         }
     }
 
-    fn rule(&self, name: &id::ClientAccount) -> line::Rule {
+    fn rule(&self, name: &id::ClientAccount) -> line::JobOrder {
         match self.policy {
-            Policy::Fair if !self.heavy.contains(name) => line::Rule::Slack,
-            Policy::Fair | Policy::LeastUsed => line::Rule::Deadline,
-            Policy::Fifo | Policy::RoundRobin => line::Rule::Arrival,
+            Policy::Fair if !self.heavy.contains(name) => line::JobOrder::Slack,
+            Policy::Fair | Policy::LeastUsed => line::JobOrder::Deadline,
+            Policy::Fifo | Policy::RoundRobin => line::JobOrder::Arrival,
         }
     }
 
@@ -369,7 +374,7 @@
 
     /// What one second of slot time weighs now.
     fn scale(&mut self, now: time::Instant) -> f64 {
-        let (scale, scaled_back) = self.usage.scale(now);
+        let (scale, scaled_back) = self.usage.current_weight(now);
         if scaled_back {
             let shapes = self.shapes.iter();
             let listed = shapes
--- a/src/decide/shape.rs
+++ b/src/decide/shape.rs
@@ -18,21 +18,21 @@
 
 impl Rank {
     /// Sorts ranks; heavy ones come first where the light ones yield.
-    pub fn order(self, yields: bool) -> (bool, Rank) {
+    pub fn sort_key(self, yields: bool) -> (bool, Rank) {
         (yields && matches!(self, Rank::Light(_)), self)
     }
 }
 
 /// Waiting tasks that take alike of a worker.
 #[derive(Clone, Debug, Default)]
-pub struct Shape {
+pub struct NeedsGroup {
     /// Each with the rank under which it is listed.
     pub lines: HashMap<id::ClientAccount, (Option<Rank>, line::Line)>,
     /// The lines that aren't empty, by rank.
     pub order: BTreeSet<(Rank, id::ClientAccount)>,
 }
 
-impl Shape {
+impl NeedsGroup {
     /// The line that goes first; a heavy one where the light ones yield.
     pub fn head(&self, yields: bool) -> Option<(Rank, &id::ClientAccount)> {
         let heavy = (Rank::Heavy(0), id::ClientAccount::default());
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -16,13 +16,13 @@
 use crate::id;
 
 /// Wait before a vacant cell is taken, for every cell held more than by the one with fewest.
-pub const STEP: time::Duration = time::Duration::from_millis(400);
+pub const VACANT_WAIT_STEP: time::Duration = time::Duration::from_millis(400);
 
 /// Longest wait before a vacant cell is taken, so that a cell is never left to the dead.
-pub const MAX_WAIT: time::Duration = time::Duration::from_secs(2);
+pub const MAX_VACANT_WAIT: time::Duration = time::Duration::from_secs(2);
 
 /// Least pause of one entry between two pulls. Each pull costs the cell a takeover.
-pub const PULL_PAUSE: time::Duration = time::Duration::from_secs(10);
+pub const MIN_PULL_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
 /// Cells that an entry must hold more than another before one is pulled from it.
 const MIN_SURPLUS: usize = 2;
@@ -56,15 +56,17 @@
     }
 
     /// How many cells an entry holds.
-    pub fn count(&self, entry: &id::EntryId) -> usize {
+    pub fn cell_count(&self, entry: &id::EntryId) -> usize {
         self.held.get(entry).map_or(0, Vec::len)
     }
 
     /// How long an entry leaves a vacant cell to those that hold fewer.
-    pub fn wait(&self, me: &id::EntryId) -> time::Duration {
+    pub fn vacancy_wait(&self, me: &id::EntryId) -> time::Duration {
         let least = self.held.values().map(Vec::len).min().unwrap_or(0);
-        let more = self.count(me).saturating_sub(least);
-        STEP.saturating_mul(more as u32).min(MAX_WAIT)
+        let more = self.cell_count(me).saturating_sub(least);
+        VACANT_WAIT_STEP
+            .saturating_mul(more as u32)
+            .min(MAX_VACANT_WAIT)
     }
 
     /// Tells whether an entry may take a cell that has been vacant since a time. Its own last
@@ -77,14 +79,14 @@
         taken: Option<time::Instant>,
     ) -> bool {
         let since = taken.map_or(vacant, |taken| taken.max(vacant));
-        now.saturating_duration_since(since) >= self.wait(me)
+        now.saturating_duration_since(since) >= self.vacancy_wait(me)
     }
 
     /// The cell that an entry pulls next, from the one that holds most, if that one holds enough
     /// more than it.
-    pub fn pull(&self, me: &id::EntryId) -> Option<id::Cell> {
+    pub fn cell_to_pull(&self, me: &id::EntryId) -> Option<id::Cell> {
         let (donor, cells) = self.held.iter().max_by_key(|(_, cells)| cells.len())?;
-        if donor == me || cells.len() < self.count(me) + MIN_SURPLUS {
+        if donor == me || cells.len() < self.cell_count(me) + MIN_SURPLUS {
             return None;
         }
         cells.iter().copied().min_by_key(|cell| rank(me, *cell))
@@ -93,7 +95,7 @@
 
 /// The order in which an entry looks at cells. Every entry has its own, so that entries that start
 /// at the same moment seldom try for the same cell.
-pub fn order(me: &id::EntryId, cells: u16) -> Vec<id::Cell> {
+pub fn cell_order(me: &id::EntryId, cells: u16) -> Vec<id::Cell> {
     let mut all: Vec<id::Cell> = (0..cells).collect();
     all.sort_by_key(|cell| rank(me, *cell));
     all
--- a/src/decide/timing.rs
+++ b/src/decide/timing.rs
@@ -11,7 +11,7 @@
 
 /// The moments of a job that hasn't ended.
 #[derive(Clone, Debug)]
-pub struct Moments {
+pub struct Timestamps {
     /// When the owner took it.
     pub submitted: time::Instant,
     /// When its tasks could start, once they could: its claim is written or needn't be.
@@ -20,10 +20,10 @@
     pub requeued: BTreeMap<id::TaskIndex, time::Instant>,
 }
 
-impl Moments {
+impl Timestamps {
     /// Opens the moments of a job that was just taken.
-    pub fn open(now: time::Instant) -> Moments {
-        Moments {
+    pub fn open(now: time::Instant) -> Timestamps {
+        Timestamps {
             submitted: now,
             startable: None,
             requeued: BTreeMap::new(),
@@ -31,7 +31,7 @@
     }
 
     /// When a task began to wait for a slot.
-    pub fn queued(&self, index: id::TaskIndex) -> time::Instant {
+    pub fn queued_at(&self, index: id::TaskIndex) -> time::Instant {
         let requeued = self.requeued.get(&index).copied();
         requeued.or(self.startable).unwrap_or(self.submitted)
     }
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -9,9 +9,9 @@
 use crate::id;
 
 /// Time constant with which used slot time fades.
-pub const FADE: time::Duration = time::Duration::from_secs(5);
+pub const DECAY_TIME: time::Duration = time::Duration::from_secs(5);
 
-/// Growth of the scale, in units of [`FADE`], after which the books are scaled back.
+/// Growth of the scale, in units of [`DECAY_TIME`], after which the books are scaled back.
 const MAX_GROWTH: f64 = 100.0;
 
 /// The books.
@@ -32,7 +32,7 @@
     }
 
     /// What a client account has used, on the scale of all.
-    pub fn of(&self, account: &id::ClientAccount) -> f64 {
+    pub fn used_by(&self, account: &id::ClientAccount) -> f64 {
         self.used.get(account).copied().unwrap_or(0.0)
     }
 
@@ -44,8 +44,9 @@
 
     /// What one second of slot time weighs now, and whether the books were scaled back for it, so
     /// that whatever is ordered by them has to be ordered anew.
-    pub fn scale(&mut self, now: time::Instant) -> (f64, bool) {
-        let growth = now.saturating_duration_since(self.base).as_secs_f64() / FADE.as_secs_f64();
+    pub fn current_weight(&mut self, now: time::Instant) -> (f64, bool) {
+        let growth =
+            now.saturating_duration_since(self.base).as_secs_f64() / DECAY_TIME.as_secs_f64();
         if growth <= MAX_GROWTH {
             return (growth.exp(), false);
         }
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -6,7 +6,7 @@
 
 /// A task that waits, as a queue orders it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Waiting {
+pub struct WaitingTask {
     /// The task.
     pub id: task::Id,
     /// How long it is thought to run.
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -42,7 +42,7 @@
     spans: spans::Owner,
     owner: Mutex<owner::Owner>,
     links: Mutex<HashMap<id::AgentId, AgentLink>>,
-    waiters: Mutex<HashMap<action::Waiter, Waiter>>,
+    waiters: Mutex<HashMap<action::WaiterId, Waiter>>,
     next_waiter: AtomicU64,
     claims: mpsc::UnboundedSender<action::Claim>,
     members_changed: Arc<Notify>,
@@ -205,7 +205,7 @@
         }
     }
 
-    fn enlist(&self, waiter: Waiter) -> action::Waiter {
+    fn enlist(&self, waiter: Waiter) -> action::WaiterId {
         let number = self.next_waiter.fetch_add(1, Ordering::Relaxed);
         self.waiters
             .lock()
@@ -239,7 +239,7 @@
         }
     }
 
-    fn reply(&self, number: action::Waiter, ending: Arc<submission::Ending>) {
+    fn reply(&self, number: action::WaiterId, ending: Arc<submission::Ending>) {
         let waiter = self
             .waiters
             .lock()
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -75,13 +75,15 @@
     }
 }
 
-async fn read(cell: &Cell) -> anyhow::Result<(Vec<inherit::Claimed>, Vec<claims::WrittenGroup>)> {
+async fn read(
+    cell: &Cell,
+) -> anyhow::Result<(Vec<inherit::StoredClaim>, Vec<claims::WrittenGroup>)> {
     let found = (cell.scope().table.scan)(rows::claims(cell.scope().cell)).await;
     let found = found.map_err(|e| anyhow!("{e:?}"))?;
     let mut all = Vec::new();
     let mut old = Vec::new();
     for row in found {
-        let group: Vec<inherit::Claimed> = serde_json::from_str(&row.value)?;
+        let group: Vec<inherit::StoredClaim> = serde_json::from_str(&row.value)?;
         let at_ms = group.iter().map(|claim| claim.at_ms).max().unwrap_or(0);
         old.push((row.key, time::Duration::from_millis(at_ms)));
         all.extend(group);
--- a/src/entry/linking.rs
+++ b/src/entry/linking.rs
@@ -88,7 +88,7 @@
 fn grouper(scope: &Scope, sender: Arc<LinkSender>) -> link::Group<Order, agent::Down> {
     let (cell, epoch) = (scope.cell, scope.epoch);
     Arc::new(move |orders| {
-        sender.delivery().send(time::Instant::now());
+        sender.delivery().record_sent(time::Instant::now());
         agent::Down {
             link: sender.link,
             cell,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -45,7 +45,7 @@
     /// Notes that a message leaves on it.
     pub fn send(&self) {
         let mut delivery = self.delivery.lock().expect("the delivery is whole");
-        delivery.send(time::Instant::now());
+        delivery.record_sent(time::Instant::now());
     }
 }
 
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -165,7 +165,7 @@
 /// Connects to the platform at `addr` (host and port). Each call takes `limit` at the longest,
 /// beside its wait for the budget of [`budget::ENTRY`].
 pub fn connect(addr: &str, limit: time::Duration, messages: count::Messages) -> Platform {
-    connect_within(addr, limit, messages, budget::ENTRY)
+    connect_within(addr, limit, messages, budget::ENTRY_LIMITS)
 }
 
 /// Connects as [`connect`] does, with another budget.
@@ -257,7 +257,7 @@
         };
         let wait = {
             let mut budget = budget.lock().expect("the budget is whole");
-            budget.book(time::Instant::now(), self.limit)
+            budget.reserve(time::Instant::now(), self.limit)
         };
         let Some(wait) = wait else {
             self.messages.add_refused(usage);
--- a/src/wire/rows.rs
+++ b/src/wire/rows.rs
@@ -99,7 +99,7 @@
     pub addr: CompactString,
     /// Lives that ended with work that nobody else remembers.
     #[serde(default)]
-    pub lost: Vec<inherit::LostLife>,
+    pub lost: Vec<inherit::LostIncarnation>,
     /// True once the agent has left as planned; the row stays for the lives that ended.
     #[serde(default)]
     pub left: bool,
--- a/tests/claims_forgotten.rs
+++ b/tests/claims_forgotten.rs
@@ -66,7 +66,7 @@
     let wall = time::Duration::from_secs(1_700_000_000);
     let config = Arc::default();
     let mut owner = owner::Owner::open(2, owner::Policy::default(), config, now, wall);
-    let claim = inherit::Claimed {
+    let claim = inherit::StoredClaim {
         key: "school/1".into(),
         digest: 1,
         tasks: 1,
--- a/tests/claims_ownership.rs
+++ b/tests/claims_ownership.rs
@@ -131,7 +131,7 @@
     let woke = woke.lock().unwrap().expect("the owner woke");
     assert_eq!(owned.epoch, 6);
     assert!(
-        owned.unclaimed_starts_until >= woke + inherit::TABLE_SIGHT,
+        owned.unclaimed_starts_until >= woke + inherit::TABLE_CONTACT_WINDOW,
         "the previous owner may start unclaimed work for longer"
     );
 }
--- a/tests/claims_writer.rs
+++ b/tests/claims_writer.rs
@@ -72,12 +72,12 @@
     }
 }
 
-fn claim(key: &str, ahead: bool) -> action::Claim {
+fn claim(key: &str, blocks_starts: bool) -> action::Claim {
     action::Claim {
         key: key.into(),
         digest: 1,
         tasks: 1,
-        ahead,
+        blocks_starts,
         at_ms: 1,
     }
 }
--- a/tests/config_head.rs
+++ b/tests/config_head.rs
@@ -3,7 +3,7 @@
 
 use std::time;
 
-use lovagemill::decide::head::{self, Sight};
+use lovagemill::decide::head::{self, WatchState};
 use lovagemill::wire::peer;
 
 fn ms(ms: u64) -> time::Duration {
@@ -16,26 +16,29 @@
 #[test]
 fn bounds_add_up_to_less_than_five_seconds() {
     let reads = ms(2 * 500);
-    assert!(head::OWNER_LOOK + peer::HEARTBEAT + reads < ms(5_000));
-    assert!(head::LOOK + reads < ms(5_000));
+    assert!(head::OWNER_READ_INTERVAL + peer::HEARTBEAT + reads < ms(5_000));
+    assert!(head::MAX_CONFIRMATION_AGE + reads < ms(5_000));
 }
 
 #[test]
 fn first_read_is_due_at_once() {
     let now = time::Instant::now();
-    assert_eq!(Sight::default().due_in(now, false), ms(0));
-    assert_eq!(Sight::default().due_in(now, true), ms(0));
+    assert_eq!(WatchState::default().next_read_in(now, false), ms(0));
+    assert_eq!(WatchState::default().next_read_in(now, true), ms(0));
 }
 
 #[test]
 fn fresh_digest_of_the_same_rows_delays_a_read_but_not_an_owners() {
     let start = time::Instant::now();
-    let mut sight = Sight::default();
-    assert!(sight.read(start, 7));
+    let mut sight = WatchState::default();
+    assert!(sight.record_read(start, 7));
     let later = start + ms(2_900);
-    assert!(!sight.hear(later, 7, ms(400)));
-    assert_eq!(sight.due_in(later, false), head::LOOK - ms(400));
-    assert_eq!(sight.due_in(later, true), ms(0));
+    assert!(!sight.record_remote_read(later, 7, ms(400)));
+    assert_eq!(
+        sight.next_read_in(later, false),
+        head::MAX_CONFIRMATION_AGE - ms(400)
+    );
+    assert_eq!(sight.next_read_in(later, true), ms(0));
 }
 
 /// Guards against an entry that serves an old configuration for minutes. Its peer couldn't read the
@@ -44,36 +47,42 @@
 #[test]
 fn old_digest_delays_no_read() {
     let start = time::Instant::now();
-    let mut sight = Sight::default();
-    sight.read(start, 7);
+    let mut sight = WatchState::default();
+    sight.record_read(start, 7);
     let later = start + ms(3_000);
-    assert!(!sight.hear(later, 7, ms(3_000)));
-    assert_eq!(sight.due_in(later, false), ms(0));
+    assert!(!sight.record_remote_read(later, 7, ms(3_000)));
+    assert_eq!(sight.next_read_in(later, false), ms(0));
 }
 
 #[test]
 fn digest_that_is_passed_on_keeps_the_age_of_its_read() {
     let start = time::Instant::now();
-    let mut sight = Sight::default();
-    sight.read(start, 7);
-    sight.hear(start + ms(2_000), 7, ms(500));
-    assert_eq!(sight.tell(start + ms(2_200)), Some((7, ms(700))));
+    let mut sight = WatchState::default();
+    sight.record_read(start, 7);
+    sight.record_remote_read(start + ms(2_000), 7, ms(500));
+    assert_eq!(sight.known_digest(start + ms(2_200)), Some((7, ms(700))));
 }
 
 #[test]
 fn fresher_rows_that_differ_are_read_at_once_and_older_ones_are_not() {
     let start = time::Instant::now();
-    let mut sight = Sight::default();
-    sight.read(start + ms(1_000), 7);
+    let mut sight = WatchState::default();
+    sight.record_read(start + ms(1_000), 7);
     let now = start + ms(1_500);
-    assert!(sight.hear(now, 8, ms(100)), "read after this one's");
-    assert!(!sight.hear(now, 6, ms(900)), "read before this one's");
+    assert!(
+        sight.record_remote_read(now, 8, ms(100)),
+        "read after this one's"
+    );
+    assert!(
+        !sight.record_remote_read(now, 6, ms(900)),
+        "read before this one's"
+    );
 }
 
 #[test]
 fn process_that_has_read_nothing_reads_at_the_first_digest() {
     let now = time::Instant::now();
-    let mut sight = Sight::default();
-    assert!(sight.hear(now, 0, ms(0)));
-    assert_eq!(sight.tell(now), None);
+    let mut sight = WatchState::default();
+    assert!(sight.record_remote_read(now, 0, ms(0)));
+    assert_eq!(sight.known_digest(now), None);
 }
--- a/tests/contract_budget.rs
+++ b/tests/contract_budget.rs
@@ -25,17 +25,17 @@
     let start = time::Instant::now();
     let mut budget = budget::Budget::open(start, 10.0);
     for _ in 0..10 {
-        assert_eq!(budget.book(start, ms(0)), Some(ms(0)));
+        assert_eq!(budget.reserve(start, ms(0)), Some(ms(0)));
     }
     assert_eq!(
-        budget.book(start, ms(50)),
+        budget.reserve(start, ms(50)),
         None,
         "a wait of 100 ms is over the limit of 50 ms"
     );
-    assert_eq!(budget.book(start, ms(100)), Some(ms(100)));
-    assert_eq!(budget.book(start, ms(500)), Some(ms(200)));
+    assert_eq!(budget.reserve(start, ms(100)), Some(ms(100)));
+    assert_eq!(budget.reserve(start, ms(500)), Some(ms(200)));
     let later = start + ms(1_000);
-    assert_eq!(budget.book(later, ms(0)), Some(ms(0)));
+    assert_eq!(budget.reserve(later, ms(0)), Some(ms(0)));
 }
 
 #[test]
@@ -43,7 +43,7 @@
     let start = time::Instant::now();
     let mut budget = budget::Budget::open(start, 10.0);
     let later = start + ms(3_600_000);
-    let at_once = (0..100).filter(|_| budget.book(later, ms(0)).is_some());
+    let at_once = (0..100).filter(|_| budget.reserve(later, ms(0)).is_some());
     assert_eq!(at_once.count(), 10);
 }
 
@@ -54,7 +54,7 @@
     let mut left = 0;
     for tick in 0..60_000 {
         let now = start + ms(tick);
-        left += u32::from(budget.book(now, ms(0)).is_some());
+        left += u32::from(budget.reserve(now, ms(0)).is_some());
     }
     assert!((3_600..=3_661).contains(&left), "{left} operations left");
 }
--- a/tests/contract_silence.rs
+++ b/tests/contract_silence.rs
@@ -69,7 +69,7 @@
             Order::Resolve(asked) => {
                 for attempt in asked {
                     self.resolved.lock().unwrap().push(attempt.id.clone());
-                    self.tell(Notice::Standing(attempt, ledger::Standing::Withdrawn));
+                    self.tell(Notice::Standing(attempt, ledger::TaskState::Withdrawn));
                 }
             }
             _ => {}
--- a/tests/decide_learning.rs
+++ b/tests/decide_learning.rs
@@ -22,7 +22,7 @@
             let declared = (ms as f64 * factor) as u64;
             estimates.observe(&ACCOUNT, &KIND, declared, Duration::from_millis(ms));
         }
-        let guess = estimates.guess(&ACCOUNT, &KIND, (700.0 * factor) as u64);
+        let guess = estimates.estimate(&ACCOUNT, &KIND, (700.0 * factor) as u64);
         assert!((650..750).contains(&guess.as_millis()), "{guess:?}");
     }
 }
@@ -37,7 +37,7 @@
         let ran = Duration::from_millis(rng.random_range(290..310));
         estimates.observe(&ACCOUNT, &KIND, declared, ran);
     }
-    let guess = estimates.guess(&ACCOUNT, &KIND, 100_000);
+    let guess = estimates.estimate(&ACCOUNT, &KIND, 100_000);
     assert!((280..320).contains(&guess.as_millis()), "{guess:?}");
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn declared_value_is_the_prior() {
     let estimates = Estimates::default();
-    let declared = estimates.guess(&ACCOUNT, &KIND, 700);
+    let declared = estimates.estimate(&ACCOUNT, &KIND, 700);
     assert_eq!(declared, Duration::from_millis(700));
-    assert!(estimates.guess(&ACCOUNT, &KIND, 0) > Duration::ZERO);
+    assert!(estimates.estimate(&ACCOUNT, &KIND, 0) > Duration::ZERO);
 }
--- a/tests/decide_queue.rs
+++ b/tests/decide_queue.rs
@@ -135,8 +135,8 @@
     cancels.sort();
     assert_eq!(cancels, holders);
     assert!(fake.owner.queue().is_empty());
-    assert_eq!(fake.owner.queue().waiting(&"town".into()), 0);
-    assert!(fake.owner.queue().seconds() == 0.0);
+    assert_eq!(fake.owner.queue().waiting_tasks(&"town".into()), 0);
+    assert!(fake.owner.queue().total_seconds() == 0.0);
     fake.pass(Duration::from_millis(400));
     assert_eq!(fake.owner.fleet().free_slots(), 24);
 }
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -11,7 +11,7 @@
 use compact_str::{format_compact, CompactString, ToCompactString};
 use lovagemill::class;
 use lovagemill::code;
-use lovagemill::decide::action::{Action, Waiter};
+use lovagemill::decide::action::{Action, WaiterId};
 use lovagemill::decide::{notice, order, owner};
 use lovagemill::id;
 use lovagemill::submission;
@@ -56,7 +56,7 @@
     /// Starts in order, with the agent.
     pub starts: Vec<(id::AgentId, task::Id)>,
     pub cancels: Vec<id::AgentId>,
-    pub endings: HashMap<Waiter, (time::Instant, Arc<submission::Ending>)>,
+    pub endings: HashMap<WaiterId, (time::Instant, Arc<submission::Ending>)>,
     pub conduct: Conduct,
     /// What every task that is done answers.
     pub answer: Box<RawValue>,
@@ -162,7 +162,7 @@
     }
 
     /// Submits a job and returns its number.
-    pub fn submit(&mut self, account: &str, tasks: Vec<submission::Task>) -> Waiter {
+    pub fn submit(&mut self, account: &str, tasks: Vec<submission::Task>) -> WaiterId {
         let first = self.numbers + 1;
         self.resubmit(account, first, tasks)
     }
@@ -171,9 +171,9 @@
     pub fn resubmit(
         &mut self,
         account: &str,
-        first: Waiter,
+        first: WaiterId,
         tasks: Vec<submission::Task>,
-    ) -> Waiter {
+    ) -> WaiterId {
         self.numbers += 1;
         let number = self.numbers;
         let submission = submission::Submission {
@@ -187,9 +187,9 @@
     }
 
     /// Withdraws a job.
-    pub fn cancel(&mut self, account: &str, number: Waiter) {
+    pub fn cancel(&mut self, account: &str, number: WaiterId) {
         let key = key(account, number);
-        self.owner.cancel(self.now, &key, Waiter::MAX);
+        self.owner.cancel(self.now, &key, WaiterId::MAX);
         self.act();
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// The refusal with which a job ended, if it did.
-    pub fn refusal(&self, number: Waiter) -> Option<&lovagemill::refusal::Refusal> {
+    pub fn refusal(&self, number: WaiterId) -> Option<&lovagemill::refusal::Refusal> {
         match self.endings.get(&number).map(|(_, ending)| &**ending) {
             Some(submission::Ending::Failed(refusal)) => Some(refusal),
             _ => None,
@@ -218,7 +218,7 @@
     }
 
     /// Tells whether a job was answered completely.
-    pub fn is_complete(&self, number: Waiter) -> bool {
+    pub fn is_complete(&self, number: WaiterId) -> bool {
         let ending = self.endings.get(&number).map(|(_, ending)| &**ending);
         matches!(ending, Some(submission::Ending::Complete(_)))
     }
@@ -312,6 +312,6 @@
     }
 }
 
-fn key(account: &str, number: Waiter) -> CompactString {
+fn key(account: &str, number: WaiterId) -> CompactString {
     format_compact!("{account}/{}", number.to_compact_string())
 }
--- a/tests/fault_doubt.rs
+++ b/tests/fault_doubt.rs
@@ -11,19 +11,19 @@
 fn successor(unclaimed_starts_until: time::Duration) -> Inheritance {
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
-    inheritance.doubt_until(unclaimed_starts_until);
-    let life = inherit::Life {
+    inheritance.set_unclaimed_starts_until(unclaimed_starts_until);
+    let life = inherit::AgentIncarnation {
         agent: "a".into(),
         incarnation: 1,
     };
-    inheritance.members(now, vec![life], &[]);
-    inheritance.claims(Vec::new());
-    assert!(inheritance.is_ready(now + inherit::PATIENCE));
+    inheritance.set_members(now, vec![life], &[]);
+    inheritance.set_claims(Vec::new());
+    assert!(inheritance.is_ready(now + inherit::REPORT_TIMEOUT));
     inheritance
 }
 
 fn look(inheritance: &Inheritance, minted: time::Duration) -> Found {
-    inheritance.look(&"canoas/k".into(), 1, Some(minted))
+    inheritance.look_up(&"canoas/k".into(), 1, Some(minted))
 }
 
 /// Guards against new work that is refused as "unknown" without need. A failure domain is lost with
@@ -57,17 +57,17 @@
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
     let lost = TAKEN_AT - time::Duration::from_secs(8);
-    let life = inherit::LostLife {
+    let life = inherit::LostIncarnation {
         incarnation: 1,
         at_ms: lost.as_millis() as u64,
         claimed: false,
     };
-    inheritance.members(now, Vec::new(), &[life]);
-    inheritance.claims(Vec::new());
+    inheritance.set_members(now, Vec::new(), &[life]);
+    inheritance.set_claims(Vec::new());
     let before = lost - time::Duration::from_secs(1);
     assert_eq!(look(&inheritance, before), Found::MayHaveRun);
     // An owner also starts keys that were minted up to this time after its last proof of ownership.
-    let last = lost + inherit::TABLE_SIGHT + 2 * inherit::CLOCK_SKEW;
+    let last = lost + inherit::TABLE_CONTACT_WINDOW + 2 * inherit::CLOCK_SKEW;
     let within = last - time::Duration::from_millis(1);
     assert_eq!(look(&inheritance, within), Found::MayHaveRun);
     let after = last;
--- a/tests/fault_resumed_job.rs
+++ b/tests/fault_resumed_job.rs
@@ -23,7 +23,7 @@
     Arc::new(decide_support::submission(key, Some(minted_ms), tasks))
 }
 
-fn welcome(incarnation: u64, tasks: Vec<(task::Id, ledger::Standing)>) -> notice::Welcome {
+fn welcome(incarnation: u64, tasks: Vec<(task::Id, ledger::TaskState)>) -> notice::Welcome {
     notice::Welcome {
         incarnation,
         failure_domain: "poa-centro".into(),
@@ -46,12 +46,12 @@
 fn successor(now: time::Instant, key: &str) -> owner::Owner {
     let policy = owner::Policy::default();
     let mut owner = owner::Owner::open(2, policy, decide_support::config(), now, TAKEN_AT);
-    let life = inherit::Life {
+    let life = inherit::AgentIncarnation {
         agent: "a".into(),
         incarnation: 1,
     };
     owner.set_members(now, vec![life], &[]);
-    let claimed = inherit::Claimed {
+    let claimed = inherit::StoredClaim {
         key: key.into(),
         digest: 1,
         tasks: 1,
@@ -62,7 +62,7 @@
         job: key.into(),
         index: 0,
     };
-    let tasks = vec![(id, ledger::Standing::Started)];
+    let tasks = vec![(id, ledger::TaskState::Started)];
     owner.handle_welcome(now, &"a".into(), welcome(1, tasks), load());
     assert!(owner.is_ready());
     owner
@@ -102,7 +102,7 @@
     // The highest attempt number covers any start that is under way.
     let attempt = u32::MAX;
     let asked = order::Attempt { id, attempt };
-    let withdrawn = notice::Notice::Standing(asked, ledger::Standing::Withdrawn);
+    let withdrawn = notice::Notice::Standing(asked, ledger::TaskState::Withdrawn);
     let mut actions = owner.actions();
     owner.handle_notice(now, &"a".into(), withdrawn);
     owner.dispatch(now);
@@ -140,7 +140,7 @@
         job: "canoas/k".into(),
         index: 0,
     };
-    let tasks = vec![(id.clone(), ledger::Standing::Started)];
+    let tasks = vec![(id.clone(), ledger::TaskState::Started)];
     owner.handle_welcome(now, &"a".into(), welcome(1, tasks), load());
     let value = serde_json::value::to_raw_value(&7).expect("plain JSON");
     let answer = notice::Notice::Answer(notice::Answer {
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -223,7 +223,7 @@
 }
 
 /// Checks an ending that the caller gets against what happened in truth.
-fn check_reply(w: &mut World, e: usize, waiter: action::Waiter, ending: &submission::Ending) {
+fn check_reply(w: &mut World, e: usize, waiter: action::WaiterId, ending: &submission::Ending) {
     match ending {
         submission::Ending::Complete(answers) => {
             let right = |(index, answer): (usize, &serde_json::value::RawValue)| {
@@ -337,14 +337,14 @@
             .enumerate()
             .filter(|(_, row)| row.incarnation > 0)
     };
-    let current = |(a, row): (usize, &Row)| inherit::Life {
+    let current = |(a, row): (usize, &Row)| inherit::AgentIncarnation {
         agent: world::agent_id(a),
         incarnation: row.incarnation,
     };
     let lost = |(_, row): (usize, &Row)| row.lost.clone();
     let lost: Vec<_> = present()
         .flat_map(lost)
-        .map(|(incarnation, at_ms)| inherit::LostLife {
+        .map(|(incarnation, at_ms)| inherit::LostIncarnation {
             incarnation,
             at_ms,
             claimed: false,
@@ -373,7 +373,7 @@
         .pending_claims
         .get()
         .iter()
-        .map(inherit::Claimed::of)
+        .map(inherit::StoredClaim::of)
         .collect();
     w.table.claims.change(|all| {
         all.retain(|old| !claims.contains(old));
@@ -398,7 +398,7 @@
         .pending_claims
         .get()
         .iter()
-        .filter(|claim| claim.ahead);
+        .filter(|claim| claim.blocks_starts);
     let keys: Vec<_> = ahead.map(|claim| claim.key.clone()).collect();
     if keys.is_empty() || w.used.refusals >= w.bounds.refusals {
         return false;
@@ -625,7 +625,12 @@
 fn receive_hello(w: &mut World, entry: usize, epoch: id::Epoch, a: usize) -> bool {
     let fence = w.bounds.mutation != Mutation::FenceRemoved;
     let agent = &mut w.agents[a];
-    if fence && agent.ledger.change(|ledger| ledger.fence(epoch)).is_err() {
+    if fence
+        && agent
+            .ledger
+            .change(|ledger| ledger.raise_fence(epoch))
+            .is_err()
+    {
         return true;
     }
     agent.newest_hello = agent.newest_hello.max(epoch);
@@ -634,7 +639,7 @@
         incarnation: agent.incarnation,
         failure_domain: "".into(),
         rack: "".into(),
-        tasks: agent.ledger.get().report(),
+        tasks: agent.ledger.get().task_states(),
     };
     send_notice(w, a, &notice::Notice::Welcome(welcome));
     true
@@ -660,9 +665,9 @@
                 .ledger
                 .change(|ledger| ledger.start(now, epoch, &start.id, start.attempt));
             match verdict {
-                ledger::Verdict::Run => start_task(w, a, epoch, start.id.index),
-                ledger::Verdict::Duplicate => {}
-                ledger::Verdict::Refuse(code) => {
+                ledger::StartDecision::Run => start_task(w, a, epoch, start.id.index),
+                ledger::StartDecision::Duplicate => {}
+                ledger::StartDecision::Refuse(code) => {
                     send_notice(w, a, &notice::Notice::Refused(start.attempt(), code));
                 }
             }
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -120,7 +120,7 @@
     pub owner: Option<usize>,
     pub epoch: id::Epoch,
     pub rows: [Row; AGENTS],
-    pub claims: digest::Digested<Vec<inherit::Claimed>>,
+    pub claims: digest::Digested<Vec<inherit::StoredClaim>>,
 }
 
 /// An entry's owner of the cell, which may not know yet that another entry has taken it.
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -36,9 +36,9 @@
         let vacant = time::Instant::now();
         let mut taken = BTreeMap::new();
         for step in 0..50 {
-            let now = vacant + spread::STEP * step;
+            let now = vacant + spread::VACANT_WAIT_STEP * step;
             for me in self.alive.clone() {
-                for cell in spread::order(&me, self.cells) {
+                for cell in spread::cell_order(&me, self.cells) {
                     let last = taken.get(&me).copied();
                     let may = self.holdings().may_take(&me, now, vacant, last);
                     if may && !self.owners.contains_key(&cell) {
@@ -58,7 +58,7 @@
     fn pull(&mut self) -> usize {
         let mut moved = 0;
         for me in self.alive.clone() {
-            if let Some(cell) = self.holdings().pull(&me) {
+            if let Some(cell) = self.holdings().cell_to_pull(&me) {
                 self.owners.insert(cell, me);
                 moved += 1;
             }
@@ -68,7 +68,10 @@
 
     fn counts(&self) -> Vec<usize> {
         let holdings = self.holdings();
-        self.alive.iter().map(|id| holdings.count(id)).collect()
+        self.alive
+            .iter()
+            .map(|id| holdings.cell_count(id))
+            .collect()
     }
 
     fn assert_even(&self) {
@@ -97,7 +100,7 @@
     world.fill();
     let dead = world.alive.remove(0);
     world.owners.retain(|_, owner| *owner != dead);
-    assert!(world.holdings().wait(&world.alive[0]).is_zero());
+    assert!(world.holdings().vacancy_wait(&world.alive[0]).is_zero());
     assert!(world.fill() <= 2);
     world.assert_even();
 }
@@ -125,8 +128,8 @@
     let (me, dead): (id::EntryId, id::EntryId) = ("entry-1".into(), "entry-dead".into());
     let owners = [(0, &dead), (1, &dead), (2, &dead), (3, &me)];
     let holdings = Holdings::gather([&me], owners);
-    assert_eq!(holdings.pull(&me), None);
-    assert_eq!(holdings.wait(&me), time::Duration::ZERO);
+    assert_eq!(holdings.cell_to_pull(&me), None);
+    assert_eq!(holdings.vacancy_wait(&me), time::Duration::ZERO);
 }
 
 /// A run over several cells and entries breaks no promise: submissions find the owner of their
