--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -89,8 +89,8 @@
 /// ago that no submission can depend on them any more.
 fn is_expired(agent: &rows::Agent) -> bool {
     let now = clock::since_epoch();
-    let is_old = |life: &inherit::LostIncarnation| {
-        time::Duration::from_millis(life.at_ms) + 2 * ledger::RETENTION < now
+    let is_old = |lost: &inherit::LostIncarnation| {
+        time::Duration::from_millis(lost.at_ms) + 2 * ledger::RETENTION < now
     };
     agent.left && agent.lost.iter().all(is_old)
 }
@@ -99,14 +99,14 @@
 pub fn current_incarnations(
     members: &HashMap<id::AgentId, rows::Agent>,
 ) -> Vec<inherit::AgentIncarnation> {
-    let life = |(agent, row): (&id::AgentId, &rows::Agent)| inherit::AgentIncarnation {
+    let current = |(agent, row): (&id::AgentId, &rows::Agent)| inherit::AgentIncarnation {
         agent: agent.clone(),
         incarnation: row.incarnation,
     };
     members
         .iter()
         .filter(|(_, row)| !row.left)
-        .map(life)
+        .map(current)
         .collect()
 }
 
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -83,7 +83,7 @@
     states: Mutex<HashMap<id::Cell, State>>,
     cell_moves: Mutex<CellMoves>,
     /// The latest reads of the watched rows, by this entry and by others.
-    sight: Mutex<head::WatchState>,
+    watch_state: Mutex<head::WatchState>,
     /// Pauses between attempts while the table fails.
     outage: Mutex<backoff::Backoff>,
     /// Makes the loop check the cells at once.
@@ -113,7 +113,7 @@
         cells,
         events,
         states: Mutex::default(),
-        sight: Mutex::default(),
+        watch_state: Mutex::default(),
         outage: Mutex::new(backoff::open(MIN_PAUSE, MAX_PAUSE)),
         wake: Notify::new(),
     })
@@ -200,7 +200,7 @@
     /// Notes the digest of the watched rows that another entry read, and the age of that read.
     pub fn note_digest(&self, digest: head::Digest, age: time::Duration) {
         let is_news = self
-            .sight()
+            .watch_state()
             .record_remote_read(time::Instant::now(), digest, age);
         if is_news {
             self.wake.notify_one();
@@ -209,7 +209,7 @@
 
     /// Returns the digest of the watched rows and the age of the read behind it, for other entries.
     pub fn newest_digest(&self) -> Option<(head::Digest, time::Duration)> {
-        self.sight().known_digest(time::Instant::now())
+        self.watch_state().known_digest(time::Instant::now())
     }
 
     /// Runs the loop; never returns.
@@ -250,7 +250,8 @@
         };
         // If there are several cells to spread, every entry has to see which ones the others own.
         let watches = owns || self.has_several_cells();
-        self.sight().next_read_in(time::Instant::now(), watches)
+        self.watch_state()
+            .next_read_in(time::Instant::now(), watches)
     }
 
     /// Returns the time until the next heartbeat is due, if this entry owns a cell.
@@ -312,8 +313,8 @@
         f(&mut self.outage.lock().expect("the outage is whole"))
     }
 
-    fn sight(&self) -> MutexGuard<'_, head::WatchState> {
-        self.sight.lock().expect("the sight is whole")
+    fn watch_state(&self) -> MutexGuard<'_, head::WatchState> {
+        self.watch_state.lock().expect("the watch state is whole")
     }
 }
 
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -20,7 +20,7 @@
         let Ok(found) = self.note_answer(found) else {
             return;
         };
-        if self.sight().record_read(begun, rows_digest(&found)) {
+        if self.watch_state().record_read(begun, rows_digest(&found)) {
             (self.events.head_changed)(&found);
         }
         let by_key: HashMap<_, _> = found.iter().map(|row| (row.key.clone(), row)).collect();
--- a/src/decide/owner/agents.rs
+++ b/src/decide/owner/agents.rs
@@ -24,11 +24,11 @@
         welcome: notice::Welcome,
         load: notice::Load,
     ) {
-        let life = inherit::AgentIncarnation {
+        let reporting = inherit::AgentIncarnation {
             agent: id.clone(),
             incarnation: welcome.incarnation,
         };
-        self.inheritance.add_report(&life, &welcome.tasks);
+        self.inheritance.add_report(&reporting, &welcome.tasks);
         let known = self
             .fleet
             .get(id)
@@ -78,9 +78,7 @@
         match notice {
             notice::Notice::Answer(answer) => self.handle_answer(now, agent, answer),
             notice::Notice::Refused(id, code) => self.handle_refusal(now, agent, &id, code),
-            notice::Notice::Standing(id, standing) => {
-                self.handle_standing(now, agent, &id, standing)
-            }
+            notice::Notice::Standing(id, state) => self.handle_task_state(now, agent, &id, state),
             notice::Notice::Welcome(_) | notice::Notice::Stale(_) | notice::Notice::Heartbeat => {}
         }
     }
@@ -117,15 +115,15 @@
 
     /// Handles an agent's report on a task that the owner asked about with
     /// [`order::Order::Resolve`].
-    pub(super) fn handle_standing(
+    pub(super) fn handle_task_state(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
         asked: &order::Attempt,
-        standing: ledger::TaskState,
+        state: ledger::TaskState,
     ) {
         let id = &asked.id;
-        match standing {
+        match state {
             ledger::TaskState::Withdrawn => {
                 self.requeue(now, agent, asked, code::Code::Burned);
             }
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -209,10 +209,10 @@
     pub fn set_members(
         &mut self,
         now: time::Instant,
-        lives: Vec<inherit::AgentIncarnation>,
+        incarnations: Vec<inherit::AgentIncarnation>,
         lost: &[inherit::LostIncarnation],
     ) {
-        self.inheritance.set_members(now, lives, lost);
+        self.inheritance.set_members(now, incarnations, lost);
         self.become_ready(now);
     }
 
--- a/src/decide/owner/resume.rs
+++ b/src/decide/owner/resume.rs
@@ -42,16 +42,16 @@
         let key = submission.key.clone();
         let mut asked: HashMap<id::AgentId, Vec<order::Attempt>> = HashMap::new();
         let (mut answer_gone, mut agent_lost) = (false, false);
-        for (index, (life, standing)) in &tasks {
-            let agent = &life.agent;
+        for (index, (incarnation, state)) in &tasks {
+            let agent = &incarnation.agent;
             let Some(progress) = job.tasks.get_mut(*index as usize) else {
                 continue;
             };
-            answer_gone |= *standing == ledger::TaskState::Gone;
+            answer_gone |= *state == ledger::TaskState::Gone;
             // Guards against an incarnation of an agent that reported a task and then ended. The
             // agent's next incarnation doesn't know the task and would answer that it may be
             // started, so it would run twice.
-            agent_lost |= !self.is_current_incarnation(life);
+            agent_lost |= !self.is_current_incarnation(incarnation);
             *progress = Progress::Inherited {
                 agent: agent.clone(),
             };
@@ -91,9 +91,9 @@
     }
 
     /// Tells whether an incarnation of an agent is the one that this owner is linked to.
-    fn is_current_incarnation(&self, life: &inherit::AgentIncarnation) -> bool {
-        let agent = self.fleet.get(&life.agent);
-        agent.is_some_and(|agent| agent.incarnation == life.incarnation)
+    fn is_current_incarnation(&self, incarnation: &inherit::AgentIncarnation) -> bool {
+        let agent = self.fleet.get(&incarnation.agent);
+        agent.is_some_and(|agent| agent.incarnation == incarnation.incarnation)
     }
 
     /// Marks the waiting tasks of a job as dropped, so that none of them starts.
--- a/tests/config_head.rs
+++ b/tests/config_head.rs
@@ -30,15 +30,15 @@
 #[test]
 fn fresh_digest_of_the_same_rows_delays_a_read_but_not_an_owners() {
     let start = time::Instant::now();
-    let mut sight = WatchState::default();
-    assert!(sight.record_read(start, 7));
+    let mut watch_state = WatchState::default();
+    assert!(watch_state.record_read(start, 7));
     let later = start + ms(2_900);
-    assert!(!sight.record_remote_read(later, 7, ms(400)));
+    assert!(!watch_state.record_remote_read(later, 7, ms(400)));
     assert_eq!(
-        sight.next_read_in(later, false),
+        watch_state.next_read_in(later, false),
         head::MAX_CONFIRMATION_AGE - ms(400)
     );
-    assert_eq!(sight.next_read_in(later, true), ms(0));
+    assert_eq!(watch_state.next_read_in(later, true), ms(0));
 }
 
 /// Guards against an entry that serves an old configuration for minutes. Its peer couldn't read the
@@ -47,34 +47,37 @@
 #[test]
 fn old_digest_delays_no_read() {
     let start = time::Instant::now();
-    let mut sight = WatchState::default();
-    sight.record_read(start, 7);
+    let mut watch_state = WatchState::default();
+    watch_state.record_read(start, 7);
     let later = start + ms(3_000);
-    assert!(!sight.record_remote_read(later, 7, ms(3_000)));
-    assert_eq!(sight.next_read_in(later, false), ms(0));
+    assert!(!watch_state.record_remote_read(later, 7, ms(3_000)));
+    assert_eq!(watch_state.next_read_in(later, false), ms(0));
 }
 
 #[test]
 fn digest_that_is_passed_on_keeps_the_age_of_its_read() {
     let start = time::Instant::now();
-    let mut sight = WatchState::default();
-    sight.record_read(start, 7);
-    sight.record_remote_read(start + ms(2_000), 7, ms(500));
-    assert_eq!(sight.known_digest(start + ms(2_200)), Some((7, ms(700))));
+    let mut watch_state = WatchState::default();
+    watch_state.record_read(start, 7);
+    watch_state.record_remote_read(start + ms(2_000), 7, ms(500));
+    assert_eq!(
+        watch_state.known_digest(start + ms(2_200)),
+        Some((7, ms(700)))
+    );
 }
 
 #[test]
 fn fresher_rows_that_differ_are_read_at_once_and_older_ones_are_not() {
     let start = time::Instant::now();
-    let mut sight = WatchState::default();
-    sight.record_read(start + ms(1_000), 7);
+    let mut watch_state = WatchState::default();
+    watch_state.record_read(start + ms(1_000), 7);
     let now = start + ms(1_500);
     assert!(
-        sight.record_remote_read(now, 8, ms(100)),
+        watch_state.record_remote_read(now, 8, ms(100)),
         "read after this one's"
     );
     assert!(
-        !sight.record_remote_read(now, 6, ms(900)),
+        !watch_state.record_remote_read(now, 6, ms(900)),
         "read before this one's"
     );
 }
@@ -82,7 +85,7 @@
 #[test]
 fn process_that_has_read_nothing_reads_at_the_first_digest() {
     let now = time::Instant::now();
-    let mut sight = WatchState::default();
-    assert!(sight.record_remote_read(now, 0, ms(0)));
-    assert_eq!(sight.known_digest(now), None);
+    let mut watch_state = WatchState::default();
+    assert!(watch_state.record_remote_read(now, 0, ms(0)));
+    assert_eq!(watch_state.known_digest(now), None);
 }
--- a/tests/fault_doubt.rs
+++ b/tests/fault_doubt.rs
@@ -12,11 +12,11 @@
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
     inheritance.set_unclaimed_starts_until(unclaimed_starts_until);
-    let life = inherit::AgentIncarnation {
+    let incarnation = inherit::AgentIncarnation {
         agent: "a".into(),
         incarnation: 1,
     };
-    inheritance.set_members(now, vec![life], &[]);
+    inheritance.set_members(now, vec![incarnation], &[]);
     inheritance.set_claims(Vec::new());
     assert!(inheritance.is_ready(now + inherit::REPORT_TIMEOUT));
     inheritance
@@ -57,12 +57,12 @@
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
     let lost = TAKEN_AT - time::Duration::from_secs(8);
-    let life = inherit::LostIncarnation {
+    let incarnation = inherit::LostIncarnation {
         incarnation: 1,
         at_ms: lost.as_millis() as u64,
         claimed: false,
     };
-    inheritance.set_members(now, Vec::new(), &[life]);
+    inheritance.set_members(now, Vec::new(), &[incarnation]);
     inheritance.set_claims(Vec::new());
     let before = lost - time::Duration::from_secs(1);
     assert_eq!(look(&inheritance, before), Found::MayHaveRun);
--- a/tests/fault_resumed_job.rs
+++ b/tests/fault_resumed_job.rs
@@ -46,11 +46,11 @@
 fn successor(now: time::Instant, key: &str) -> owner::Owner {
     let policy = owner::Policy::default();
     let mut owner = owner::Owner::open(2, policy, decide_support::config(), now, TAKEN_AT);
-    let life = inherit::AgentIncarnation {
+    let incarnation = inherit::AgentIncarnation {
         agent: "a".into(),
         incarnation: 1,
     };
-    owner.set_members(now, vec![life], &[]);
+    owner.set_members(now, vec![incarnation], &[]);
     let claimed = inherit::StoredClaim {
         key: key.into(),
         digest: 1,
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -350,8 +350,10 @@
             claimed: false,
         })
         .collect();
-    let lives: Vec<_> = present().map(current).collect();
-    handle_event(w, e, |owner, now| owner.set_members(now, lives, &lost));
+    let incarnations: Vec<_> = present().map(current).collect();
+    handle_event(w, e, |owner, now| {
+        owner.set_members(now, incarnations, &lost)
+    });
     true
 }
 
@@ -728,15 +730,15 @@
 fn resolve(w: &mut World, a: usize, epoch: id::Epoch, asked: &[order::Attempt]) {
     let now = w.true_now();
     let ledger = &mut w.agents[a].ledger;
-    let standings = ledger.change(|ledger| ledger.resolve(now, epoch, asked));
-    for (asked, standing) in standings {
+    let states = ledger.change(|ledger| ledger.resolve(now, epoch, asked));
+    for (asked, state) in states {
         let notice = match w.agents[a].ledger.get().answer(&asked.id) {
             Some((outcome, ran_us)) => notice::Notice::Answer(notice::Answer {
                 id: asked.id,
                 outcome,
                 ran_us,
             }),
-            None => notice::Notice::Standing(asked, standing),
+            None => notice::Notice::Standing(asked, state),
         };
         send_notice(w, a, &notice);
     }
