--- a/tests/claims_forgotten.rs
+++ b/tests/claims_forgotten.rs
@@ -19,17 +19,17 @@
 fn a_job_whose_ending_was_dropped_does_not_run_again() {
     let mut fake = support::open(100);
     let first = fake.submit("school", support::tasks(1, 10, 10));
-    fake.pass(time::Duration::from_millis(50));
+    fake.advance(time::Duration::from_millis(50));
     assert!(fake.is_complete(first));
     while fake.endings.len() <= owner::MAX_KEPT_ENDINGS + 1 {
         for _ in 0..500 {
             fake.submit("network", support::tasks(1, 1, 1));
         }
-        fake.pass(time::Duration::from_millis(50));
+        fake.advance(time::Duration::from_millis(50));
     }
     let starts = fake.starts.len();
     let again = fake.resubmit("school", first, support::tasks(1, 10, 10));
-    fake.pass(time::Duration::from_millis(50));
+    fake.advance(time::Duration::from_millis(50));
     let refusal = fake.refusal(again).expect("the job isn't run again");
     assert_eq!(refusal.code, code::Code::AnswerGone);
     assert!(!refusal.not_run);
@@ -46,11 +46,11 @@
     let mut last = 0;
     for _ in 0..owner::MAX_KEPT_BYTES / size + 1 {
         last = fake.submit("school", support::tasks(1, 1, 1));
-        fake.pass(time::Duration::from_millis(50));
+        fake.advance(time::Duration::from_millis(50));
     }
     let first = fake.resubmit("school", 1, support::tasks(1, 1, 1));
     let newest = fake.resubmit("school", last, support::tasks(1, 1, 1));
-    fake.pass(time::Duration::from_millis(50));
+    fake.advance(time::Duration::from_millis(50));
     assert_eq!(
         fake.refusal(first).map(|r| r.code),
         Some(code::Code::AnswerGone)
--- a/tests/decide_health.rs
+++ b/tests/decide_health.rs
@@ -10,17 +10,17 @@
 
 /// Offers work for 20 s at about 80% of 11 workers. Returns the share of tasks that failed and
 /// the starts at each worker of the list after the sickness began.
-fn offer(fake: &mut fake::Fake, sick: &[&str]) -> (usize, Vec<usize>) {
+fn offer(fake: &mut fake::FakeCell, sick: &[&str]) -> (usize, Vec<usize>) {
     let mut from = 0;
     for i in 0..400 {
-        if fake.now - fake.begun < SICK_FROM {
+        if fake.now - fake.started_at < SICK_FROM {
             from = fake.starts.len();
         }
         let account = ["town", "village", "state"][i % 3];
         fake.submit(account, fake::tasks(14, 250, 250));
-        fake.pass(Duration::from_millis(50));
+        fake.advance(Duration::from_millis(50));
     }
-    fake.pass(Duration::from_secs(8));
+    fake.advance(Duration::from_secs(8));
     let at = |name: &&str| {
         let starts = fake.starts[from..].iter();
         starts.filter(|(agent, _)| agent == *name).count()
@@ -28,13 +28,13 @@
     (fake.starts.len(), sick.iter().map(at).collect())
 }
 
-fn sick_fake(sick: &'static [&'static str]) -> fake::Fake {
+fn sick_fake(sick: &'static [&'static str]) -> fake::FakeCell {
     let mut fake = fake::open(11);
-    fake.conduct = Box::new(move |agent, start, age| {
+    fake.behavior = Box::new(move |agent, start, age| {
         if age >= SICK_FROM && sick.contains(&agent) {
-            return fake::failing();
+            return fake::fail_quickly();
         }
-        fake::well(start)
+        fake::succeed(start)
     });
     fake
 }
@@ -64,15 +64,15 @@
 #[test]
 fn mended_worker_comes_back() {
     let mut fake = fake::open(2);
-    fake.conduct = Box::new(|agent, start, age| {
+    fake.behavior = Box::new(|agent, start, age| {
         if age < Duration::from_secs(2) && agent == "agent-01" {
-            return fake::failing();
+            return fake::fail_quickly();
         }
-        fake::well(start)
+        fake::succeed(start)
     });
     for _ in 0..240 {
         fake.submit("town", fake::tasks(3, 250, 250));
-        fake.pass(Duration::from_millis(50));
+        fake.advance(Duration::from_millis(50));
     }
     assert_eq!(fake.owner.fleet().slots(), 16);
     let last = &fake.starts[fake.starts.len() - 40..];
@@ -85,26 +85,26 @@
 #[test]
 fn broken_input_of_one_client_account_bars_no_worker() {
     let mut fake = fake::open(4);
-    fake.conduct = Box::new(|_, start, _| {
+    fake.behavior = Box::new(|_, start, _| {
         if start.client_account == "broken" {
-            return fake::failing();
+            return fake::fail_quickly();
         }
-        fake::well(start)
+        fake::succeed(start)
     });
     let mut least = u32::MAX;
     for i in 0..100 {
         for _ in 0..4 {
             fake.submit("broken", fake::tasks(1, 100, 100));
-            fake.pass(Duration::from_millis(5));
+            fake.advance(Duration::from_millis(5));
         }
         fake.submit("town", fake::tasks(8, 100, 100));
-        fake.pass(Duration::from_millis(30));
+        fake.advance(Duration::from_millis(30));
         if i >= 10 {
             least = least.min(fake.owner.fleet().slots());
         }
     }
     assert!(least >= 24, "down to {least} of 32 slots");
-    fake.pass(Duration::from_secs(1));
+    fake.advance(Duration::from_secs(1));
     assert_eq!(fake.owner.fleet().slots(), 32);
     let town = fake.starts_of("town", 0);
     assert_eq!(town, 800);
@@ -115,8 +115,8 @@
 #[test]
 fn slow_worker_gets_few_tasks() {
     let mut fake = fake::open(11);
-    fake.conduct = Box::new(|agent, start, _| {
-        let mut end = fake::well(start)?;
+    fake.behavior = Box::new(|agent, start, _| {
+        let mut end = fake::succeed(start)?;
         if agent == "agent-03" {
             end.after *= 5;
         }
@@ -131,11 +131,11 @@
 #[test]
 fn hanging_worker_gets_few_tasks() {
     let mut fake = fake::open(11);
-    fake.conduct = Box::new(|agent, start, age| {
+    fake.behavior = Box::new(|agent, start, age| {
         if age >= SICK_FROM && agent == "agent-03" {
             return None;
         }
-        fake::well(start)
+        fake::succeed(start)
     });
     let (all, at) = offer(&mut fake, &["agent-03"]);
     assert!(at[0] * 100 < all, "{at:?} of {all}");
@@ -145,11 +145,11 @@
 #[test]
 fn at_most_half_of_the_workers_are_barred() {
     let mut fake = fake::open(8);
-    fake.conduct = Box::new(|_, _, _| fake::failing());
+    fake.behavior = Box::new(|_, _, _| fake::fail_quickly());
     for i in 0..100 {
         let account = format!("customer-{}", i % 50);
         fake.submit(&account, fake::tasks(1, 100, 100));
-        fake.pass(Duration::from_millis(10));
+        fake.advance(Duration::from_millis(10));
         assert!(fake.owner.fleet().slots() >= 4);
     }
 }
--- a/tests/decide_overload.rs
+++ b/tests/decide_overload.rs
@@ -17,9 +17,9 @@
     for _ in 0..320 {
         let at = fake.now;
         jobs.push((at, fake.submit("state", fake::tasks(10, 300, 300))));
-        fake.pass(Duration::from_micros(62_500));
+        fake.advance(Duration::from_micros(62_500));
     }
-    fake.pass(fake::TARGET);
+    fake.advance(fake::TARGET);
     let mut refused = 0;
     for (at, job) in jobs {
         let Some(refusal) = fake.refusal(job) else {
@@ -45,7 +45,7 @@
     fake.submit("town", fake::tasks(290, 100, 600_000));
     let job = fake.submit("village", fake::tasks(4, 200, 200));
     assert!(fake.refusal(job).is_none(), "{:?}", fake.refusal(job));
-    fake.pass(Duration::from_secs(3));
+    fake.advance(Duration::from_secs(3));
     assert!(fake.is_complete(job));
 }
 
@@ -56,7 +56,7 @@
     let mut fake = fake::open(1);
     fake.submit("town", fake::tasks(8, 7_500, 100));
     let job = fake.submit("town", fake::tasks(1, 3_000, 3_000));
-    fake.pass(Duration::from_millis(7_600));
+    fake.advance(Duration::from_millis(7_600));
     let refusal = fake.refusal(job).expect("it is given up").clone();
     assert_eq!(refusal.code, Code::Expired);
     assert!(refusal.not_run && refusal.retry_after_ms.is_some());
@@ -69,22 +69,22 @@
 #[test]
 fn worker_that_turns_work_away_is_left_alone() {
     let mut fake = fake::open(4);
-    fake.conduct = Box::new(|agent, start, _| {
+    fake.behavior = Box::new(|agent, start, _| {
         if agent == "agent-01" {
-            return Some(fake::End {
+            return Some(fake::TaskEnd {
                 after: Duration::from_millis(1),
                 outcome: Err(Code::WorkerBusy),
             });
         }
-        fake::well(start)
+        fake::succeed(start)
     });
     let jobs: Vec<_> = (0..40)
         .map(|_| {
-            fake.pass(Duration::from_millis(50));
+            fake.advance(Duration::from_millis(50));
             fake.submit("town", fake::tasks(4, 200, 200))
         })
         .collect();
-    fake.pass(Duration::from_secs(3));
+    fake.advance(Duration::from_secs(3));
     assert!(jobs.iter().all(|job| fake.is_complete(*job)));
     let sent = fake.starts.len();
     assert!(sent <= 160 + 16, "{sent} starts for 160 tasks");
@@ -95,8 +95,8 @@
 #[test]
 fn retries_end_with_the_budget() {
     let mut fake = fake::open(4);
-    fake.conduct = Box::new(|_, _, _| {
-        Some(fake::End {
+    fake.behavior = Box::new(|_, _, _| {
+        Some(fake::TaskEnd {
             after: Duration::from_millis(1),
             outcome: Err(Code::WorkerBusy),
         })
@@ -105,7 +105,7 @@
         .map(|_| fake.submit("town", fake::tasks(1, 200, 200)))
         .collect();
     let large = fake.submit("town", fake::tasks(10, 200, 200));
-    fake.pass(fake::TARGET + Duration::from_secs(1));
+    fake.advance(fake::TARGET + Duration::from_secs(1));
     assert!(fake.starts.len() <= 450, "{}", fake.starts.len());
     for job in jobs {
         let refusal = fake.refusal(job).expect("nothing can run");
@@ -123,9 +123,9 @@
     let mut fake = fake::open(1);
     let long = fake::TARGET.as_millis() as u64 * 3 / 4;
     let first = fake.submit("harbour", fake::tasks(4, long, long));
-    fake.pass(Duration::from_millis(200));
+    fake.advance(Duration::from_millis(200));
     let second = fake.submit("harbour", fake::tasks(4, long, long));
-    fake.pass(fake::TARGET);
+    fake.advance(fake::TARGET);
     for job in [first, second] {
         assert!(fake.refusal(job).is_none(), "{:?}", fake.refusal(job));
         assert!(fake.is_complete(job));
--- a/tests/decide_placement.rs
+++ b/tests/decide_placement.rs
@@ -44,15 +44,15 @@
     fake.join("large", accelerators(2));
     fake.owner.give_up_agent(fake.now, &"large".into());
     let early = fake.submit("town", needing(1, 100, accelerators(1)));
-    fake.pass(Duration::from_secs(1));
+    fake.advance(Duration::from_secs(1));
     assert!(!fake.endings.contains_key(&early));
     fake.join("large", accelerators(2));
-    fake.pass(Duration::from_secs(1));
+    fake.advance(Duration::from_secs(1));
     assert!(fake.is_complete(early));
 
     fake.owner.give_up_agent(fake.now, &"large".into());
     let late = fake.submit("town", needing(1, 100, accelerators(1)));
-    fake.pass(fake::TARGET);
+    fake.advance(fake::TARGET);
     assert_eq!(fake.refusal(late).map(|r| r.code), Some(Code::Expired));
 }
 
@@ -64,9 +64,9 @@
     fake.join("large", accelerators(1));
     let scarce = fake.submit("town", needing(3, 300, accelerators(1)));
     let plain = fake.submit("town", fake::tasks(15, 100, 100));
-    fake.pass(Duration::from_millis(150));
+    fake.advance(Duration::from_millis(150));
     assert!(fake.is_complete(plain));
-    fake.pass(Duration::from_millis(800));
+    fake.advance(Duration::from_millis(800));
     assert!(fake.is_complete(scarce));
 }
 
@@ -78,10 +78,10 @@
     for _ in 0..10 {
         fake.submit("town", needing(2, 120, accelerators(1)));
         fake.submit("town", fake::tasks(9, 70, 70));
-        fake.pass(Duration::from_millis(90));
+        fake.advance(Duration::from_millis(90));
     }
     fake.owner.give_up_agent(fake.now, &"agent-01".into());
-    fake.pass(Duration::from_secs(4));
+    fake.advance(Duration::from_secs(4));
     assert_eq!(fake.owner.fleet().slots(), 24);
     assert_eq!(fake.owner.fleet().free_slots(), 24);
     assert!(fake.owner.queue().is_empty());
--- a/tests/decide_queue.rs
+++ b/tests/decide_queue.rs
@@ -7,10 +7,10 @@
 use decide_support as fake;
 
 /// Floods an owner for a while, as a client account that offers several times the capacity does.
-fn flood(fake: &mut fake::Fake, account: &str, jobs: usize, every: Duration) {
+fn flood(fake: &mut fake::FakeCell, account: &str, jobs: usize, every: Duration) {
     for _ in 0..jobs {
         fake.submit(account, fake::tasks(10, 300, 300));
-        fake.pass(every);
+        fake.advance(every);
     }
 }
 
@@ -22,10 +22,10 @@
     flood(&mut fake, "state", 100, Duration::from_millis(25));
     let before = fake.starts.len();
     let job = fake.submit("town", fake::tasks(10, 300, 300));
-    fake.pass(Duration::from_millis(320));
+    fake.advance(Duration::from_millis(320));
     assert_eq!(fake.starts_of("town", before), 10);
     assert!(fake.starts_of("state", before) <= 6, "{:?}", fake.starts);
-    fake.pass(Duration::from_millis(320));
+    fake.advance(Duration::from_millis(320));
     assert!(fake.is_complete(job));
 }
 
@@ -38,11 +38,11 @@
         fake.submit("state", fake::tasks(10, 300, 300));
         // Two thirds of the 16 slots.
         fake.submit("town", fake::tasks(2, 300, 300));
-        fake.pass(Duration::from_millis(56));
+        fake.advance(Duration::from_millis(56));
     }
     let before = fake.starts.len();
     fake.submit("town", fake::tasks(4, 300, 300));
-    fake.pass(Duration::from_millis(320));
+    fake.advance(Duration::from_millis(320));
     fake.starts.truncate(before + 4);
     assert_eq!(fake.starts_of("town", before), 4);
 }
@@ -73,7 +73,7 @@
         }
         fake.submit("town", fake::tasks(1, 300, 300));
         fake.submit("village", fake::tasks(1, 300, 300));
-        fake.pass(Duration::from_millis(35));
+        fake.advance(Duration::from_millis(35));
     }
     let (all, state) = (fake.starts.len() - from, fake.starts_of("state", from));
     assert!(state * 60 >= all, "{state} of {all}");
@@ -88,7 +88,7 @@
     for _ in 0..200 {
         fake.submit("north", fake::tasks(11, 300, 300));
         fake.submit("south", fake::tasks(10, 300, 300));
-        fake.pass(Duration::from_millis(50));
+        fake.advance(Duration::from_millis(50));
     }
     let (north, south) = (fake.starts_of("north", 0), fake.starts_of("south", 0));
     let share = north as f64 / (north + south) as f64;
@@ -104,7 +104,7 @@
     tasks[1] = fake::tasks(1, 900, 900).remove(0);
     fake.submit("town", tasks);
     let before = fake.starts.len();
-    fake.pass(Duration::from_millis(100));
+    fake.advance(Duration::from_millis(100));
     assert_eq!(fake.starts[before].1.index, 1);
 }
 
@@ -116,7 +116,7 @@
     fake.submit("town", fake::tasks(8, 100, 100));
     fake.submit("town", fake::tasks(20, 2_000, 2_000));
     let quote = fake.submit("village", fake::tasks(1, 50, 50));
-    fake.pass(Duration::from_millis(160));
+    fake.advance(Duration::from_millis(160));
     assert!(fake.is_complete(quote));
 }
 
@@ -137,6 +137,6 @@
     assert!(fake.owner.queue().is_empty());
     assert_eq!(fake.owner.queue().waiting_tasks(&"town".into()), 0);
     assert!(fake.owner.queue().total_seconds() == 0.0);
-    fake.pass(Duration::from_millis(400));
+    fake.advance(Duration::from_millis(400));
     assert_eq!(fake.owner.fleet().free_slots(), 24);
 }
--- a/tests/decide_release.rs
+++ b/tests/decide_release.rs
@@ -25,7 +25,7 @@
     let whole = submission(7);
     fake.owner.note_ownership_proof(fake.now);
     fake.owner.submit(fake.now, whole.clone(), 1);
-    fake.pass(time::Duration::from_secs(2));
+    fake.advance(time::Duration::from_secs(2));
     assert!(fake.is_complete(1));
     assert_eq!(Arc::strong_count(&whole), 1, "the inputs are still held");
 
@@ -33,7 +33,7 @@
     fake.owner.submit(fake.now, whole.clone(), 2);
     fake.owner.submit(fake.now, submission(8), 3);
     fake.owner.cancel(fake.now, &whole.key, 4);
-    fake.pass(time::Duration::from_secs(12));
+    fake.advance(time::Duration::from_secs(12));
     assert!(fake.is_complete(2));
     assert_eq!(
         fake.refusal(3).map(|refusal| refusal.code),
@@ -51,23 +51,23 @@
     let whole = submission(7);
     fake.owner.note_ownership_proof(fake.now);
     fake.owner.submit(fake.now, whole.clone(), u64::MAX);
-    fake.pass(time::Duration::from_secs(1));
+    fake.advance(time::Duration::from_secs(1));
     let starts = fake.starts.len();
     let others = owner::MAX_KEPT_ENDINGS + 1;
     for _ in 0..others / 80 + 1 {
         for _ in 0..80 {
             fake.submit("mill", decide_support::tasks(1, 1, 1));
         }
-        fake.pass(time::Duration::from_millis(25));
+        fake.advance(time::Duration::from_millis(25));
     }
-    fake.pass(time::Duration::from_secs(1));
+    fake.advance(time::Duration::from_secs(1));
     let before = fake.starts.len();
     assert!(before - starts > owner::MAX_KEPT_ENDINGS, "{before}");
     fake.owner.submit(fake.now, whole, u64::MAX - 1);
     fake.owner.submit(fake.now, submission(8), u64::MAX - 2);
     fake.owner
         .cancel(fake.now, &submission(7).key, u64::MAX - 3);
-    fake.pass(time::Duration::from_secs(1));
+    fake.advance(time::Duration::from_secs(1));
     assert_eq!(fake.starts.len(), before);
     let code = |number| fake.refusal(number).map(|refusal| refusal.code);
     assert_eq!(code(u64::MAX - 1), Some(Code::AnswerGone));
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -23,46 +23,46 @@
 pub const TARGET: time::Duration = time::Duration::from_secs(8);
 
 /// How a start ends: after how long, and how. Nothing where it never ends by itself.
-pub type Conduct = Box<dyn FnMut(&str, &order::Start, time::Duration) -> Option<End>>;
+pub type Behavior = Box<dyn FnMut(&str, &order::Start, time::Duration) -> Option<TaskEnd>>;
 
 /// The end of a start.
-pub struct End {
+pub struct TaskEnd {
     pub after: time::Duration,
     pub outcome: Result<(), code::Code>,
 }
 
 /// Runs as long as the input says.
-pub fn well(start: &order::Start) -> Option<End> {
+pub fn succeed(start: &order::Start) -> Option<TaskEnd> {
     let ms: u64 = start.input.get().parse().expect("an input is a number");
-    Some(End {
+    Some(TaskEnd {
         after: time::Duration::from_millis(ms),
         outcome: Ok(()),
     })
 }
 
 /// Fails at once.
-pub fn failing() -> Option<End> {
-    Some(End {
+pub fn fail_quickly() -> Option<TaskEnd> {
+    Some(TaskEnd {
         after: time::Duration::from_millis(2),
         outcome: Err(code::Code::TaskFailed),
     })
 }
 
 /// An owner and its fake agents.
-pub struct Fake {
+pub struct FakeCell {
     pub owner: owner::Owner,
-    pub begun: time::Instant,
+    pub started_at: time::Instant,
     pub now: time::Instant,
     /// Starts in order, with the agent.
     pub starts: Vec<(id::AgentId, task::Id)>,
     pub cancels: Vec<id::AgentId>,
     pub endings: HashMap<WaiterId, (time::Instant, Arc<submission::Ending>)>,
-    pub conduct: Conduct,
+    pub behavior: Behavior,
     /// What every task that is done answers.
     pub answer: Box<RawValue>,
     ends: BinaryHeap<Reverse<(time::Instant, u64)>>,
     running: BTreeMap<u64, (id::AgentId, task::Id, time::Instant, Result<(), code::Code>)>,
-    numbers: u64,
+    last_number: u64,
 }
 
 /// A configuration with the class of all jobs here.
@@ -103,25 +103,25 @@
 }
 
 /// Opens an owner with workers of 8 slots each.
-pub fn open(workers: usize) -> Fake {
-    let begun = time::Instant::now() + time::Duration::from_secs(1_000);
+pub fn open(workers: usize) -> FakeCell {
+    let started_at = time::Instant::now() + time::Duration::from_secs(1_000);
     let wall = time::Duration::from_secs(1_700_000_000);
     let policy = owner::Policy::default();
-    let mut owner = owner::Owner::open(1, policy, config(), begun, wall);
-    owner.set_members(begun, Vec::new(), &[]);
-    owner.set_earlier_claims(begun, Vec::new());
-    let mut fake = Fake {
+    let mut owner = owner::Owner::open(1, policy, config(), started_at, wall);
+    owner.set_members(started_at, Vec::new(), &[]);
+    owner.set_earlier_claims(started_at, Vec::new());
+    let mut fake = FakeCell {
         owner,
-        begun,
-        now: begun,
+        started_at,
+        now: started_at,
         starts: Vec::new(),
         cancels: Vec::new(),
         endings: HashMap::new(),
-        conduct: Box::new(|_, start, _| well(start)),
+        behavior: Box::new(|_, start, _| succeed(start)),
         answer: to_raw_value(&1).expect("a number is JSON"),
         ends: BinaryHeap::new(),
         running: BTreeMap::new(),
-        numbers: 0,
+        last_number: 0,
     };
     for number in 0..workers {
         let id = format_compact!("agent-{number:02}");
@@ -141,7 +141,7 @@
     vec![task; number]
 }
 
-impl Fake {
+impl FakeCell {
     /// A worker with 8 slots and a capacity joins.
     pub fn join(&mut self, id: &str, capacity: task::Needs) {
         let welcome = notice::Welcome {
@@ -158,12 +158,12 @@
         };
         self.owner
             .handle_welcome(self.now, &id.into(), welcome, load);
-        self.act();
+        self.apply_actions();
     }
 
     /// Submits a job and returns its number.
     pub fn submit(&mut self, account: &str, tasks: Vec<submission::Task>) -> WaiterId {
-        let first = self.numbers + 1;
+        let first = self.last_number + 1;
         self.resubmit(account, first, tasks)
     }
 
@@ -174,15 +174,15 @@
         first: WaiterId,
         tasks: Vec<submission::Task>,
     ) -> WaiterId {
-        self.numbers += 1;
-        let number = self.numbers;
+        self.last_number += 1;
+        let number = self.last_number;
         let submission = submission::Submission {
             digest: first,
             ..submission(&key(account, first), Some(1_700_000_000_000), tasks)
         };
         self.owner.note_ownership_proof(self.now);
         self.owner.submit(self.now, Arc::new(submission), number);
-        self.act();
+        self.apply_actions();
         number
     }
 
@@ -190,11 +190,11 @@
     pub fn cancel(&mut self, account: &str, number: WaiterId) {
         let key = key(account, number);
         self.owner.cancel(self.now, &key, WaiterId::MAX);
-        self.act();
+        self.apply_actions();
     }
 
     /// Lets time pass; ends and ticks come in order.
-    pub fn pass(&mut self, by: time::Duration) {
+    pub fn advance(&mut self, by: time::Duration) {
         let until = self.now + by;
         let tick = time::Duration::from_millis(25);
         let mut due = self.now + tick;
@@ -202,7 +202,7 @@
             self.end_until(due);
             self.now = due;
             self.owner.tick(due);
-            self.act();
+            self.apply_actions();
             due += tick;
         }
         self.end_until(until);
@@ -271,10 +271,10 @@
         };
         self.owner.handle_notice(self.now, agent, notice);
         self.owner.dispatch(self.now);
-        self.act();
+        self.apply_actions();
     }
 
-    fn act(&mut self) {
+    fn apply_actions(&mut self) {
         for action in self.owner.actions() {
             match action {
                 Action::Record(_) => {}
@@ -290,15 +290,15 @@
 
     fn start(&mut self, agent: id::AgentId, start: order::Start) {
         self.starts.push((agent.clone(), start.id.clone()));
-        let end = (self.conduct)(&agent, &start, self.now - self.begun);
-        self.numbers += 1;
+        let end = (self.behavior)(&agent, &start, self.now - self.started_at);
+        self.last_number += 1;
         let outcome = end.as_ref().map_or(Ok(()), |end| end.outcome);
         if let Some(end) = end {
             self.ends
-                .push(Reverse((self.now + end.after, self.numbers)));
+                .push(Reverse((self.now + end.after, self.last_number)));
         }
         self.running
-            .insert(self.numbers, (agent, start.id, self.now, outcome));
+            .insert(self.last_number, (agent, start.id, self.now, outcome));
     }
 
     fn stop(&mut self, agent: id::AgentId, key: &id::JobKey) {
--- a/tests/ended_jobs.rs
+++ b/tests/ended_jobs.rs
@@ -17,17 +17,17 @@
 fn resubmission_after_many_other_jobs_starts_nothing() {
     let mut fake = fake::open(400);
     let first = fake.submit("school", fake::tasks(1, 1, 1));
-    fake.pass(Duration::from_millis(50));
+    fake.advance(Duration::from_millis(50));
     assert!(fake.is_complete(first));
     for _ in 0..=owner::MAX_KEPT_ENDINGS / 1_000 {
         for _ in 0..1_000 {
             fake.submit("state", fake::tasks(1, 1, 1));
         }
-        fake.pass(Duration::from_millis(100));
+        fake.advance(Duration::from_millis(100));
     }
     let before = fake.starts.len();
     let again = fake.resubmit("school", first, fake::tasks(1, 1, 1));
-    fake.pass(Duration::from_millis(100));
+    fake.advance(Duration::from_millis(100));
     assert_eq!(fake.starts_of("school", before), 0, "it ran twice");
     let (_, ending) = &fake.endings[&again];
     match &**ending {
--- a/tests/fault_cancel.rs
+++ b/tests/fault_cancel.rs
@@ -8,7 +8,7 @@
 use lovagemill::decide::action::Action;
 use lovagemill::submission;
 
-use decide_support::Fake;
+use decide_support::FakeCell;
 
 fn outcomes(actions: &[Action]) -> Vec<code::Outcome> {
     let outcome = |action: &Action| match action {
@@ -27,7 +27,7 @@
 /// it ran.
 #[test]
 fn cancelling_an_unknown_job_does_not_prove_that_it_did_not_run() {
-    let Fake { mut owner, now, .. } = decide_support::open(0);
+    let FakeCell { mut owner, now, .. } = decide_support::open(0);
     owner.cancel(now, &"canoas/k".into(), 1);
     assert_eq!(outcomes(&owner.actions()), [code::Outcome::Unknown]);
 }
@@ -38,7 +38,7 @@
 /// had been told "not run".
 #[test]
 fn cancelling_before_the_start_does_not_prove_that_the_job_will_not_run() {
-    let Fake { mut owner, now, .. } = decide_support::open(0);
+    let FakeCell { mut owner, now, .. } = decide_support::open(0);
     let job = decide_support::submission("canoas/k", None, decide_support::tasks(1, 1, 100));
     owner.submit(now, Arc::new(job), 1);
     owner.cancel(now, &"canoas/k".into(), 2);
