--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -12,7 +12,7 @@
 
 use crate::decide::backlog;
 use crate::decide::line;
-use crate::decide::shape::{self, Rank};
+use crate::decide::needs_group::{self, Rank};
 use crate::decide::usage;
 use crate::decide::waiting::WaitingTask;
 use crate::id;
@@ -50,7 +50,7 @@
 pub struct Queue {
     policy: Policy,
     opened: time::Instant,
-    shapes: BTreeMap<task::Needs, shape::NeedsGroup>,
+    shapes: BTreeMap<task::Needs, needs_group::NeedsGroup>,
     jobs: HashMap<id::JobKey, Job>,
     heavy: HashSet<id::ClientAccount>,
     usage: usage::Usage,
