--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -9,15 +9,15 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use crate::besteffort::agent::server::flush;
-use crate::besteffort::agent::{tell_all, tell_news, Inner, Link, TICK};
+use crate::besteffort::agent::server::send_orders;
+use crate::besteffort::agent::{wake_all_links, wake_links_with_unsent, Inner, Link, TICK};
 use crate::besteffort::line;
 use crate::clock;
 use crate::decide::besteffort::message::{AgentMessage, Backend, EntryIncarnation, EntryMessage};
 use crate::mutex;
 
 /// Longest that an entry may take to say who it is.
-const HELLO: time::Duration = time::Duration::from_millis(500);
+const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// Most links at a time. An agent has some ten; where many entries know few agents, as in the first second of a large
 /// fleet, the others turn to the next agents of their order.
@@ -25,13 +25,13 @@
 
 /// Part of a heartbeat after which a line of the entry is answered by one of the agent, where nothing
 /// left meanwhile: the heartbeats of an entry call for those of its agents.
-const JUST_WRITTEN: f64 = 0.5;
+const ANSWER_AFTER_HEARTBEATS: f64 = 0.5;
 
 /// Heartbeats after which the agent speaks unasked, because the entry is late. Its timer is set back
 /// by each line that leaves, so that a link costs no wake-up of its own while the entry is well.
-const UNASKED: f64 = 1.25;
+const UNPROMPTED_AFTER_HEARTBEATS: f64 = 1.25;
 
-pub(super) async fn accept(inner: Arc<Inner>, listener: TcpListener) {
+pub(super) async fn accept_links(inner: Arc<Inner>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -46,11 +46,11 @@
 }
 
 async fn serve_link(inner: Arc<Inner>, stream: TcpStream) {
-    let result = greet(&inner, stream).await;
+    let result = identify_entry(&inner, stream).await;
     let (name, number, result) = match result {
-        Ok(greeted) => {
-            let (name, number) = (greeted.name.clone(), greeted.number);
-            (name, number, converse(&inner, greeted).await)
+        Ok(identified) => {
+            let (name, number) = (identified.name.clone(), identified.number);
+            (name, number, run_link(&inner, identified).await)
         }
         Err(e) => {
             log::debug!(error = e.to_string().as_str(); "an entry's link has ended before it was up");
@@ -69,23 +69,25 @@
 }
 
 /// An entry that has connected and said who it is.
-struct Greeted {
+struct IdentifiedLink {
     name: EntryIncarnation,
     number: u64,
     reader: line::Reader,
     writer: line::Writer,
 }
 
-async fn greet(inner: &Arc<Inner>, stream: TcpStream) -> io::Result<Greeted> {
+async fn identify_entry(inner: &Arc<Inner>, stream: TcpStream) -> io::Result<IdentifiedLink> {
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
     let (mut reader, writer) = line::open(stream)?;
-    let first: EntryMessage = timeout(HELLO, reader.read()).await.map_err(late)??;
+    let first: EntryMessage = timeout(HELLO_TIMEOUT, reader.read())
+        .await
+        .map_err(late)??;
     let name = first.entry.ok_or(io::ErrorKind::InvalidData)?;
     // Until then no entry may hear that nothing runs here.
-    while !inner.clean.load(Ordering::Relaxed) {
+    while !inner.leftovers_ended.load(Ordering::Relaxed) {
         sleep(TICK).await;
     }
-    Ok(Greeted {
+    Ok(IdentifiedLink {
         name,
         number: first.link,
         reader,
@@ -95,7 +97,7 @@
 
 /// Makes a link the one of its entry; none if a later one is, or if there are too many. The one before is closed: an entry's connection that
 /// went silent would take in ends and loans that the entry never hears of.
-fn take_over(inner: &Inner, name: &EntryIncarnation, number: u64) -> Option<Link> {
+fn register_link(inner: &Inner, name: &EntryIncarnation, number: u64) -> Option<Link> {
     let mut links = mutex::lock(&inner.links);
     if let Some(old) = links.get(name) {
         if old.number > number {
@@ -107,21 +109,21 @@
     }
     let link = Link {
         number,
-        news: Arc::new(Notify::new()),
+        wake: Arc::new(Notify::new()),
         close: Arc::new(Notify::new()),
     };
     links.insert(name.clone(), link.clone());
     Some(link)
 }
 
-async fn converse(inner: &Arc<Inner>, greeted: Greeted) -> io::Result<()> {
-    let Greeted {
+async fn run_link(inner: &Arc<Inner>, identified: IdentifiedLink) -> io::Result<()> {
+    let IdentifiedLink {
         name,
         number,
         mut reader,
         mut writer,
-    } = greeted;
-    let Some(link) = take_over(inner, &name, number) else {
+    } = identified;
+    let Some(link) = register_link(inner, &name, number) else {
         return Err(io::Error::other(
             "a later link of the entry is up, or too many are",
         ));
@@ -131,13 +133,13 @@
     hello.agent = inner.cfg.name.clone();
     hello.incarnation = inner.cfg.incarnation;
     hello.failure_domain = inner.cfg.failure_domain.clone();
-    let mut talk = Talk {
+    let mut talk = LinkSession {
         inner: inner.clone(),
         name,
-        told: Backend::default(),
-        taken: 0,
+        sent_backend: Backend::default(),
+        starts_read: 0,
     };
-    let mut line = talk.line();
+    let mut line = talk.next_message();
     line.hello = Some(hello);
     writer.write(&line).await?;
     let mut heard = clock::since_boot();
@@ -148,11 +150,11 @@
             () = link.close.notified() => return Ok(()),
             line = reader.read::<EntryMessage>() => {
                 heard = clock::since_boot();
-                talk.take(line?);
-                written.elapsed() > heartbeat.mul_f64(JUST_WRITTEN)
+                talk.handle_message(line?);
+                written.elapsed() > heartbeat.mul_f64(ANSWER_AFTER_HEARTBEATS)
             }
-            () = link.news.notified() => true,
-            () = sleep_until(written + heartbeat.mul_f64(UNASKED)) => {
+            () = link.wake.notified() => true,
+            () = sleep_until(written + heartbeat.mul_f64(UNPROMPTED_AFTER_HEARTBEATS)) => {
                 if clock::since_boot() - heard > inner.cfg.bounds.silence {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
@@ -160,22 +162,22 @@
             }
         };
         if answers {
-            writer.write(&talk.line()).await?;
+            writer.write(&talk.next_message()).await?;
             written = Instant::now();
         }
     }
 }
 
 /// One link while it is up.
-struct Talk {
+struct LinkSession {
     inner: Arc<Inner>,
     name: EntryIncarnation,
-    told: Backend,
-    taken: u64,
+    sent_backend: Backend,
+    starts_read: u64,
 }
 
-impl Talk {
-    fn take(&mut self, line: EntryMessage) {
+impl LinkSession {
+    fn handle_message(&mut self, line: EntryMessage) {
         let now = clock::since_boot();
         let changed = {
             let mut slots = mutex::lock(&self.inner.slots);
@@ -187,27 +189,27 @@
                 slots.withdraw(now, &self.name, run);
             }
             for start in line.starts {
-                self.taken += 1;
+                self.starts_read += 1;
                 slots.start_requested(now, &self.name, fresh, start);
             }
             slots.update_waiting_work(now, &self.name, line.seen_ms, line.waiting);
             changed
         };
-        flush(&self.inner);
+        send_orders(&self.inner);
         if changed {
-            tell_all(&self.inner);
+            wake_all_links(&self.inner);
         } else {
-            tell_news(&self.inner);
+            wake_links_with_unsent(&self.inner);
         }
     }
 
-    fn line(&mut self) -> AgentMessage {
+    fn next_message(&mut self) -> AgentMessage {
         let mut slots = mutex::lock(&self.inner.slots);
         let mut line = slots.next_message(&self.name, clock::since_boot());
-        line.starts_read = self.taken;
+        line.starts_read = self.starts_read;
         let backend = slots.advertised_backend();
-        if backend != self.told {
-            self.told = backend.clone();
+        if backend != self.sent_backend {
+            self.sent_backend = backend.clone();
             line.backend = Some(backend);
         }
         line
--- a/src/besteffort/agent/mod.rs
+++ b/src/besteffort/agent/mod.rs
@@ -20,9 +20,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use crate::besteffort::agent::link::accept;
+use crate::besteffort::agent::link::accept_links;
 pub use crate::besteffort::agent::link::MAX_LINKS;
-use crate::besteffort::agent::server::{check_life, flush, tick, watch};
+use crate::besteffort::agent::server::{check_incarnation, keep_listing, send_orders, tick};
 use crate::clock;
 use crate::decide::besteffort::lease::{self, Bounds};
 use crate::decide::besteffort::message::{
@@ -36,7 +36,7 @@
 const TICK: time::Duration = time::Duration::from_millis(20);
 
 /// How long past that a listing's answer may take before it counts as lost.
-const LISTING_SLACK: time::Duration = time::Duration::from_millis(200);
+const LISTING_ANSWER_MARGIN: time::Duration = time::Duration::from_millis(200);
 
 /// A boxed future, as the closures of [`BackendServer`] return it.
 pub type Answer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
@@ -114,12 +114,12 @@
     slots: Mutex<Slots>,
     links: Mutex<HashMap<EntryIncarnation, Link>>,
     /// Wakes the listing loop when work begins after a quiet time.
-    work: Notify,
+    work_began: Notify,
     /// Wakes it when the backend server has a new life.
-    new_life: Notify,
+    new_incarnation: Notify,
     /// Whether nothing runs any more that an earlier life of the agent had started. Before that the
     /// lease isn't renewed, and no entry is told that nothing runs here.
-    clean: AtomicBool,
+    leftovers_ended: AtomicBool,
 }
 
 /// The link of an entry.
@@ -127,7 +127,7 @@
 struct Link {
     /// Which of the entry's links.
     number: u64,
-    news: Arc<Notify>,
+    wake: Arc<Notify>,
     close: Arc<Notify>,
 }
 
@@ -151,12 +151,12 @@
         cfg,
         server,
         links: Mutex::default(),
-        work: Notify::new(),
-        new_life: Notify::new(),
-        clean: AtomicBool::new(false),
+        work_began: Notify::new(),
+        new_incarnation: Notify::new(),
+        leftovers_ended: AtomicBool::new(false),
     });
-    tokio::spawn(accept(inner.clone(), listener));
-    tokio::spawn(watch(inner.clone()));
+    tokio::spawn(accept_links(inner.clone(), listener));
+    tokio::spawn(keep_listing(inner.clone()));
     tokio::spawn(tick(inner.clone()));
     Ok(Agent { inner, addr })
 }
@@ -172,10 +172,10 @@
         let check =
             mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
         if let Some(check) = check {
-            tokio::spawn(check_life(self.inner.clone(), check));
+            tokio::spawn(check_incarnation(self.inner.clone(), check));
         }
-        flush(&self.inner);
-        tell_all(&self.inner);
+        send_orders(&self.inner);
+        wake_all_links(&self.inner);
     }
 
     /// The life of the backend server that is known; with an empty id before any.
@@ -200,7 +200,7 @@
         let check =
             mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
         if let Some(check) = check {
-            check_life(self.inner.clone(), check).await;
+            check_incarnation(self.inner.clone(), check).await;
         }
         let there = self.server_incarnation() == life;
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, there = there;
@@ -210,8 +210,8 @@
     /// A life of the backend server has left.
     pub fn server_left(&self, life: &ServerIncarnation) {
         mutex::lock(&self.inner.slots).server_left(clock::since_boot(), life);
-        flush(&self.inner);
-        tell_all(&self.inner);
+        send_orders(&self.inner);
+        wake_all_links(&self.inner);
     }
 
     /// Which life of the agent this is.
@@ -227,8 +227,8 @@
     /// Takes no new work, lets what runs end, `longest` at most, and ends the rest.
     pub async fn stop(&self, longest: time::Duration) {
         mutex::lock(&self.inner.slots).stop_accepting(clock::since_boot());
-        flush(&self.inner);
-        tell_all(&self.inner);
+        send_orders(&self.inner);
+        wake_all_links(&self.inner);
         let idle = async {
             while !mutex::lock(&self.inner.slots).is_idle() {
                 sleep(TICK).await;
@@ -237,7 +237,7 @@
         if timeout(longest, idle).await.is_err() {
             log::warn!("stopping with runs left; they are ended");
             mutex::lock(&self.inner.slots).end_all_runs(clock::since_boot());
-            flush(&self.inner);
+            send_orders(&self.inner);
             sleep(2 * lease::MAX_STOP_TIME).await;
         }
         // The last ends leave with the next line.
@@ -260,17 +260,17 @@
     }
 }
 
-fn tell_news(inner: &Inner) {
+fn wake_links_with_unsent(inner: &Inner) {
     let slots = mutex::lock(&inner.slots);
     for (name, link) in mutex::lock(&inner.links).iter() {
         if slots.has_unsent(name) {
-            link.news.notify_one();
+            link.wake.notify_one();
         }
     }
 }
 
-fn tell_all(inner: &Inner) {
+fn wake_all_links(inner: &Inner) {
     for link in mutex::lock(&inner.links).values() {
-        link.news.notify_one();
+        link.wake.notify_one();
     }
 }
--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -7,7 +7,8 @@
 use tokio::time::{sleep, timeout};
 
 use crate::besteffort::agent::{
-    tell_all, tell_news, Answer, Inner, ListCall, ListingError, LISTING_SLACK, TICK,
+    wake_all_links, wake_links_with_unsent, Answer, Inner, ListCall, ListingError,
+    LISTING_ANSWER_MARGIN, TICK,
 };
 use crate::clock;
 use crate::decide::besteffort::message::Run;
@@ -18,14 +19,14 @@
 const IDLE_TICK: time::Duration = time::Duration::from_millis(100);
 
 /// How long a listing may wait for an end; bounds the age of the lease and of the progress.
-const LISTING_WAIT: time::Duration = time::Duration::from_millis(150);
+const MAX_LISTING_WAIT: time::Duration = time::Duration::from_millis(150);
 
 /// How long nothing may be heard while something runs before what there is now is asked for. About what
 /// passes between two ends at an agent under an ordinary load (33 ms).
-const LOOK: time::Duration = time::Duration::from_millis(40);
+const PROBE_AFTER: time::Duration = time::Duration::from_millis(40);
 
 /// How long after an end was listed elsewhere the listing that waits for one may still come.
-const OVERTAKEN: time::Duration = time::Duration::from_millis(5);
+const WAITING_LISTING_GRACE: time::Duration = time::Duration::from_millis(5);
 
 /// Pause after a listing that failed.
 const LISTING_PAUSE: time::Duration = time::Duration::from_millis(100);
@@ -43,12 +44,12 @@
         }
         last = now;
         if now > lapsed {
-            inner.clean.store(true, Ordering::Relaxed);
+            inner.leftovers_ended.store(true, Ordering::Relaxed);
         }
         renew_if_late(&inner, now);
         mutex::lock(&inner.slots).tick(now);
-        flush(&inner);
-        tell_news(&inner);
+        send_orders(&inner);
+        wake_links_with_unsent(&inner);
     }
 }
 
@@ -63,13 +64,13 @@
 
 /// Keeps a listing waiting at the backend server, so that ends are heard at once and the lease is
 /// renewed.
-pub(super) async fn watch(inner: Arc<Inner>) {
+pub(super) async fn keep_listing(inner: Arc<Inner>) {
     loop {
         if !wait_for_end(&inner).await {
             sleep(LISTING_PAUSE).await;
         }
         if mutex::lock(&inner.slots).is_idle() {
-            let _ = timeout(LISTING_WAIT, inner.work.notified()).await;
+            let _ = timeout(MAX_LISTING_WAIT, inner.work_began.notified()).await;
         }
     }
 }
@@ -81,7 +82,7 @@
 /// idle for as long. So while something runs and nothing was heard for a moment, a second listing asks
 /// what there is now. Has anything ended, the one that waits is lost and given up.
 async fn wait_for_end(inner: &Arc<Inner>) -> bool {
-    let waiting = list_once(inner, LISTING_WAIT);
+    let waiting = list_once(inner, MAX_LISTING_WAIT);
     tokio::pin!(waiting);
     loop {
         let is_working = mutex::lock(&inner.slots).is_working();
@@ -89,17 +90,17 @@
             listed = &mut waiting => return listed.is_some(),
             // A listing of the life before may hang for as long as it is allowed to; waiting for it
             // would make the new life look out of reach.
-            () = inner.new_life.notified() => return true,
+            () = inner.new_incarnation.notified() => return true,
             // An idle agent, which most of a large fleet are, needn't wake up to see that nothing runs.
-            () = inner.work.notified(), if !is_working => continue,
-            () = sleep(LOOK), if is_working => {}
+            () = inner.work_began.notified(), if !is_working => continue,
+            () = sleep(PROBE_AFTER), if is_working => {}
         }
         if !mutex::lock(&inner.slots).is_working() {
             continue;
         }
         let ends = list_once(inner, time::Duration::ZERO).await;
         if ends.is_some_and(|ends| ends > 0) {
-            return match timeout(OVERTAKEN, &mut waiting).await {
+            return match timeout(WAITING_LISTING_GRACE, &mut waiting).await {
                 Ok(listed) => listed.is_some(),
                 Err(_) => true,
             };
@@ -108,7 +109,7 @@
 }
 
 /// Asks a life that has announced itself whether it is there.
-pub(super) async fn check_life(inner: Arc<Inner>, check: Check) {
+pub(super) async fn check_incarnation(inner: Arc<Inner>, check: Check) {
     let sent = clock::since_boot();
     let call = (inner.server.list)(ListCall {
         to: check.to.clone(),
@@ -116,7 +117,7 @@
         acknowledged: 0,
         wait: time::Duration::ZERO,
     });
-    let checked = match timeout(LISTING_SLACK, call).await {
+    let checked = match timeout(LISTING_ANSWER_MARGIN, call).await {
         Ok(Ok(listing)) => CheckResult::Answered(listing),
         Ok(Err(ListingError::AnotherIncarnation)) => CheckResult::AnotherIncarnation,
         Ok(Err(ListingError::NoAnswer | ListingError::Refused)) | Err(_) => CheckResult::NoAnswer,
@@ -128,11 +129,11 @@
         return;
     }
     if is_idle {
-        inner.clean.store(true, Ordering::Relaxed);
+        inner.leftovers_ended.store(true, Ordering::Relaxed);
     }
-    inner.new_life.notify_one();
-    flush(&inner);
-    tell_all(&inner);
+    inner.new_incarnation.notify_one();
+    send_orders(&inner);
+    wake_all_links(&inner);
 }
 
 /// Lists what the backend server has; returns how many ends were listed, none without an answer.
@@ -140,7 +141,7 @@
     let sent = clock::since_boot();
     let call = {
         let mut slots = mutex::lock(&inner.slots);
-        let clean = inner.clean.load(Ordering::Relaxed);
+        let clean = inner.leftovers_ended.load(Ordering::Relaxed);
         ListCall {
             to: slots.recipient(),
             lease_until_ms: clean.then(|| slots.renew_lease(sent)).flatten(),
@@ -149,7 +150,7 @@
         }
     };
     let asked = call.to.clone();
-    let answer = timeout(wait + LISTING_SLACK, (inner.server.list)(call)).await;
+    let answer = timeout(wait + LISTING_ANSWER_MARGIN, (inner.server.list)(call)).await;
     let now = clock::since_boot();
     // Word from or about an earlier life, which was under way when the next one announced itself,
     // says nothing of what runs now. Taken for news, it ends runs that have just begun, and their
@@ -170,16 +171,16 @@
                 slots.connection_refused(now, &asked);
                 before
             };
-            flush(inner);
+            send_orders(inner);
             if took_work {
-                tell_all(inner);
+                wake_all_links(inner);
             }
             return None;
         }
         Ok(Err(ListingError::NoAnswer)) | Err(_) => return None,
     };
     if listed.running.is_empty() {
-        inner.clean.store(true, Ordering::Relaxed);
+        inner.leftovers_ended.store(true, Ordering::Relaxed);
     }
     let ends = listed.ended.len();
     let changed = {
@@ -188,17 +189,17 @@
         slots.listing_received(now, sent, listed);
         slots.advertised_backend() != before
     };
-    flush(inner);
+    send_orders(inner);
     if changed {
-        tell_all(inner);
+        wake_all_links(inner);
     } else {
-        tell_news(inner);
+        wake_links_with_unsent(inner);
     }
     Some(ends)
 }
 
 /// Carries out what the slots ask for.
-pub(super) fn flush(inner: &Arc<Inner>) {
+pub(super) fn send_orders(inner: &Arc<Inner>) {
     let orders = mutex::lock(&inner.slots).take_orders();
     for order in orders {
         let inner = inner.clone();
@@ -210,28 +211,28 @@
                 lease_until_ms,
             } => {
                 let answer = (inner.server.start)(to, run.clone(), input, lease_until_ms);
-                tokio::spawn(start(inner, run, answer));
+                tokio::spawn(await_start(inner, run, answer));
             }
             Order::Stop { to, run } => {
                 let answer = (inner.server.stop)(to, run.clone());
-                tokio::spawn(stop(inner, run, answer));
+                tokio::spawn(await_stop(inner, run, answer));
             }
         }
     }
 }
 
-async fn start(inner: Arc<Inner>, run: Run, answer: Answer<StartAnswer>) {
+async fn await_start(inner: Arc<Inner>, run: Run, answer: Answer<StartAnswer>) {
     let answer = answer.await;
     mutex::lock(&inner.slots).start_answered(clock::since_boot(), &run, answer);
-    inner.work.notify_one();
-    flush(&inner);
-    tell_news(&inner);
+    inner.work_began.notify_one();
+    send_orders(&inner);
+    wake_links_with_unsent(&inner);
 }
 
-async fn stop(inner: Arc<Inner>, run: Run, answer: Answer<bool>) {
+async fn await_stop(inner: Arc<Inner>, run: Run, answer: Answer<bool>) {
     if answer.await {
         let unsure = mutex::lock(&inner.slots).stop_answered(clock::since_boot(), &run);
-        inner.work.notify_one();
+        inner.work_began.notify_one();
         if unsure {
             // The listing that is under way waits for an end, which may never come.
             list_once(&inner, time::Duration::ZERO).await;
--- a/src/besteffort/entry/link.rs
+++ b/src/besteffort/entry/link.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout};
 
-use crate::besteffort::entry::{carry_out, Inner};
+use crate::besteffort::entry::{perform_actions, Inner};
 use crate::besteffort::line;
 use crate::clock;
 use crate::decide::besteffort::evacuation;
@@ -21,34 +21,34 @@
 /// Longest that a connect to an agent may take: many round trips between failure domains (2 ms); the agent's
 /// system answers, however busy the agent is. An address without power answers nothing, and the sooner the next
 /// try, the sooner an agent that has just started is found.
-const CONNECT: time::Duration = time::Duration::from_millis(80);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
 /// How long an agent may take to say who it is. One that has just started first ends what its earlier life has left
 /// running, which takes as long as the lease of that.
-const HELLO: time::Duration = time::Duration::from_millis(1_000);
+const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
 /// Pause before the next connect to an agent, doubled each time up to the longest. An agent that was killed is
 /// mostly back within seconds.
-const RECONNECT: time::Duration = time::Duration::from_millis(50);
-const RECONNECT_LATER: time::Duration = time::Duration::from_millis(400);
+const MIN_RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(50);
+const MAX_RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(400);
 
 /// Failed connects in a row after which the agent is hardly back soon, and the pause from then on.
-const GIVEN_UP: u32 = 60;
-const RECONNECT_RARELY: time::Duration = time::Duration::from_secs(4);
+const MAX_FREQUENT_TRIES: u32 = 60;
+const RARE_RECONNECT_PAUSE: time::Duration = time::Duration::from_secs(4);
 
 /// The entry's side of a link.
 #[derive(Default)]
 pub(super) struct Link {
     /// What waits for the writer.
-    pub(super) out: Mutex<EntryMessage>,
+    pub(super) outgoing: Mutex<EntryMessage>,
     /// When the last line left.
-    pub(super) written: Mutex<time::Duration>,
-    pub(super) news: Notify,
+    pub(super) written_at: Mutex<time::Duration>,
+    pub(super) wake: Notify,
     pub(super) close: Notify,
 }
 
 /// Keeps a link to an agent up, until the other end of `stop` is dropped.
-pub(super) async fn keep_link(
+pub(super) async fn maintain_link(
     inner: Arc<Inner>,
     agent: id::AgentId,
     addr: SocketAddr,
@@ -62,11 +62,11 @@
             *next
         };
         let result = tokio::select! {
-            result = converse(&inner, no, &agent, addr) => Some(result),
+            result = run_link(&inner, no, &agent, addr) => Some(result),
             _ = &mut stop => None,
         };
         let was_up = mutex::lock(&inner.links).remove(&no).is_some();
-        mutex::lock(&inner.waits).asking.link_closed(no);
+        mutex::lock(&inner.demand).room_requests.link_closed(no);
         if let Some(Err(e)) = &result {
             log::debug!(agent = agent.as_str(), link = no, error = e.to_string().as_str(); "link has ended");
         }
@@ -75,36 +75,36 @@
             board.agent_down(clock::since_boot(), no);
             board.agent_unreachable(clock::since_boot(), &agent);
         }
-        carry_out(&inner);
+        perform_actions(&inner);
         if result.is_none() {
             return;
         }
         tries = if was_up { 0 } else { tries + 1 };
         tokio::select! {
-            () = sleep(pause(tries)) => {}
+            () = sleep(reconnect_pause(tries)) => {}
             _ = &mut stop => return,
         }
     }
 }
 
 /// How long to wait after some failed connects. Entries that lost an agent together don't come back together.
-fn pause(tries: u32) -> time::Duration {
-    let pause = if tries > GIVEN_UP {
-        RECONNECT_RARELY
+fn reconnect_pause(tries: u32) -> time::Duration {
+    let pause = if tries > MAX_FREQUENT_TRIES {
+        RARE_RECONNECT_PAUSE
     } else {
-        (RECONNECT * (1 << tries.min(8))).min(RECONNECT_LATER)
+        (MIN_RECONNECT_PAUSE * (1 << tries.min(8))).min(MAX_RECONNECT_PAUSE)
     };
     pause.mul_f64(rand::random_range(0.5..1.0))
 }
 
-async fn converse(
+async fn run_link(
     inner: &Arc<Inner>,
     no: LinkNo,
     agent: &id::AgentId,
     addr: SocketAddr,
 ) -> io::Result<()> {
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-    let stream = timeout(CONNECT, TcpStream::connect(addr));
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let stream = stream.await.map_err(late)??;
     let (mut reader, mut writer) = line::open(stream)?;
     let first = EntryMessage {
@@ -113,27 +113,29 @@
         ..EntryMessage::default()
     };
     writer.write(&first).await?;
-    let hello: AgentMessage = timeout(HELLO, reader.read()).await.map_err(late)??;
+    let hello: AgentMessage = timeout(HELLO_TIMEOUT, reader.read())
+        .await
+        .map_err(late)??;
     let named = hello.hello.as_ref().filter(|hello| hello.agent == *agent);
     let domain = named.map(|hello| hello.failure_domain.clone());
     let domain = domain.ok_or_else(|| io::Error::other("another agent has its address"))?;
     let link = Arc::new(Link::default());
     mutex::lock(&inner.links).insert(no, link.clone());
     let mut told = evacuation::LastSent::default();
-    let mut seen = Seen::default();
-    take(inner, no, &mut seen, hello);
+    let mut seen = AgentClock::default();
+    handle_message(inner, no, &mut seen, hello);
     loop {
         tokio::select! {
             line = reader.read::<AgentMessage>() => {
                 let line = line?;
                 let lent = !line.lent.is_empty();
-                take(inner, no, &mut seen, line);
+                handle_message(inner, no, &mut seen, line);
                 if lent {
-                    link.news.notify_one();
+                    link.wake.notify_one();
                 }
             }
-            () = link.news.notified() => {
-                let mut line = seen.line(&link, say_wants(inner, no));
+            () = link.wake.notified() => {
+                let mut line = seen.next_message(&link, waiting_work_to_send(inner, no));
                 let word = mutex::lock(&inner.evacuations).domain_state(&domain);
                 line.evacuation = told.due(clock::since_boot(), word);
                 writer.write(&line).await?;
@@ -144,19 +146,19 @@
 }
 
 /// What waits for room now; the agent of a link is about to hear of it.
-fn say_wants(inner: &Inner, no: LinkNo) -> Option<WaitingWork> {
-    let mut waits = mutex::lock(&inner.waits);
-    let wants = waits.wants;
+fn waiting_work_to_send(inner: &Inner, no: LinkNo) -> Option<WaitingWork> {
+    let mut waits = mutex::lock(&inner.demand);
+    let wants = waits.waiting_work;
     waits
-        .asking
+        .room_requests
         .message_sent(no, wants.map(|wants| wants.priority));
     wants
 }
 
-fn take(inner: &Arc<Inner>, no: LinkNo, seen: &mut Seen, line: AgentMessage) {
+fn handle_message(inner: &Arc<Inner>, no: LinkNo, seen: &mut AgentClock, line: AgentMessage) {
     let now = clock::since_boot();
     seen.agent_ms = line.now_ms;
-    seen.at = now;
+    seen.heard_at = now;
     {
         let mut board = mutex::lock(&inner.board);
         if let Some(hello) = &line.hello {
@@ -164,25 +166,25 @@
         }
         board.handle_message(now, no, &line);
     }
-    carry_out(inner);
+    perform_actions(inner);
 }
 
 /// The agent's clock as last heard, and when that was.
 #[derive(Default)]
-struct Seen {
+struct AgentClock {
     agent_ms: u64,
-    at: time::Duration,
+    heard_at: time::Duration,
 }
 
-impl Seen {
+impl AgentClock {
     /// The next line, with what waits for the writer; times become those of the agent's clock. The
     /// way here makes them too early at most.
-    fn line(&self, link: &Link, wants: Option<WaitingWork>) -> EntryMessage {
-        *mutex::lock(&link.written) = clock::since_boot();
-        let mut line = std::mem::take(&mut *mutex::lock(&link.out));
+    fn next_message(&self, link: &Link, wants: Option<WaitingWork>) -> EntryMessage {
+        *mutex::lock(&link.written_at) = clock::since_boot();
+        let mut line = std::mem::take(&mut *mutex::lock(&link.outgoing));
         line.waiting = wants;
         line.seen_ms = self.agent_ms;
-        let at = self.at.as_millis() as u64;
+        let at = self.heard_at.as_millis() as u64;
         let there = |ms: u64| (ms + self.agent_ms).saturating_sub(at);
         for start in &mut line.starts {
             start.deadline_ms = there(start.deadline_ms);
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-use crate::besteffort::entry::link::{keep_link, Link};
+use crate::besteffort::entry::link::{maintain_link, Link};
 use crate::clock;
 use crate::decide::besteffort::asking::RoomRequests;
 use crate::decide::besteffort::board::{Action, Board, Counts, Membership, SubmitResult};
@@ -31,11 +31,11 @@
 
 /// Lateness of a tick that tells of a pause of the process. A machine that has used up its share of
 /// the processor pauses for less than 100 ms.
-const STOOD_STILL: time::Duration = time::Duration::from_millis(180);
+const MIN_PROCESS_PAUSE: time::Duration = time::Duration::from_millis(180);
 
 /// Part of a heartbeat within which a line that left makes the next heartbeat needless. The longest
 /// silence is then 150 ms, and two more heartbeats fit before an agent gives the entry up.
-const JUST_WRITTEN: f64 = 0.25;
+const RECENT_WRITE_HEARTBEATS: f64 = 0.25;
 
 /// Who an entry is.
 #[derive(Clone, Debug)]
@@ -55,9 +55,9 @@
     board: Mutex<Board>,
     links: Mutex<BTreeMap<LinkNo, Arc<Link>>>,
     /// Ends the task that keeps the link to an agent, when dropped.
-    kept: Mutex<HashMap<id::AgentId, oneshot::Sender<()>>>,
+    link_stops: Mutex<HashMap<id::AgentId, oneshot::Sender<()>>>,
     /// What waits for room, and which agents know it.
-    waits: Mutex<Waits>,
+    demand: Mutex<RoomDemand>,
     /// Which failure domains get nothing new.
     evacuations: Mutex<Evacuations>,
     callers: Mutex<HashMap<JobNo, Vec<oneshot::Sender<Outcome>>>>,
@@ -65,9 +65,9 @@
 }
 
 #[derive(Default)]
-struct Waits {
-    wants: Option<WaitingWork>,
-    asking: RoomRequests,
+struct RoomDemand {
+    waiting_work: Option<WaitingWork>,
+    room_requests: RoomRequests,
 }
 
 /// A running entry.
@@ -87,8 +87,8 @@
         )),
         cfg,
         links: Mutex::default(),
-        kept: Mutex::default(),
-        waits: Mutex::default(),
+        link_stops: Mutex::default(),
+        demand: Mutex::default(),
         evacuations: Mutex::default(),
         callers: Mutex::default(),
         next_link: Mutex::default(),
@@ -112,7 +112,7 @@
     pub fn crash_reported(&self, agent: &str, life: id::Incarnation, crash: &Crash) {
         let now = clock::since_boot();
         mutex::lock(&self.inner.board).crash_reported(now, agent, life, crash);
-        carry_out(&self.inner);
+        perform_actions(&self.inner);
     }
 
     /// Runs a job and returns how it ended. Dropping the future says that the caller has left.
@@ -127,11 +127,11 @@
             .entry(no)
             .or_default()
             .push(tx);
-        let _left = Left {
+        let _left = CallerGuard {
             inner: self.inner.clone(),
             no,
         };
-        carry_out(&self.inner);
+        perform_actions(&self.inner);
         rx.await.unwrap_or(Outcome::GaveUp)
     }
 
@@ -143,7 +143,7 @@
         };
         mutex::lock(&self.inner.callers).remove(&no);
         mutex::lock(&self.inner.board).caller_left(clock::since_boot(), no);
-        carry_out(&self.inner);
+        perform_actions(&self.inner);
         true
     }
 
@@ -170,7 +170,7 @@
     /// Gives up and answers whatever hasn't ended.
     pub fn give_up_all(&self) {
         mutex::lock(&self.inner.board).give_up_all(clock::since_boot());
-        carry_out(&self.inner);
+        perform_actions(&self.inner);
     }
 
     /// Says which failure domains operators have evacuated. Agents hear of a change at once.
@@ -188,7 +188,7 @@
             "evacuated failure domains");
         drop(evacuations);
         for link in mutex::lock(&self.inner.links).values() {
-            link.news.notify_one();
+            link.wake.notify_one();
         }
     }
 
@@ -220,12 +220,12 @@
 }
 
 /// Tells the board when a caller has left before its job ended.
-struct Left {
+struct CallerGuard {
     inner: Arc<Inner>,
     no: JobNo,
 }
 
-impl Drop for Left {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         {
             let mut callers = mutex::lock(&self.inner.callers);
@@ -239,27 +239,27 @@
             callers.remove(&self.no);
         }
         mutex::lock(&self.inner.board).caller_left(clock::since_boot(), self.no);
-        carry_out(&self.inner);
+        perform_actions(&self.inner);
     }
 }
 
 async fn tick(inner: Arc<Inner>) {
     let mut last = clock::since_boot();
-    let mut beaten = last;
+    let mut last_heartbeat = last;
     loop {
         sleep(TICK).await;
         let now = clock::since_boot();
         let pause = now.saturating_sub(last);
-        if pause > STOOD_STILL {
+        if pause > MIN_PROCESS_PAUSE {
             log::warn!(ms = pause.as_millis() as u64; "this process stood still");
             mutex::lock(&inner.board).process_resumed(now);
         }
         last = now;
         mutex::lock(&inner.board).tick(now);
-        carry_out(&inner);
-        if now - beaten >= inner.cfg.bounds.heartbeat {
-            beaten = now;
-            beat(&inner, now);
+        perform_actions(&inner);
+        if now - last_heartbeat >= inner.cfg.bounds.heartbeat {
+            last_heartbeat = now;
+            send_heartbeats(&inner, now);
         }
     }
 }
@@ -267,17 +267,19 @@
 /// Has a heartbeat leave on every link at once, and the agents answer them at once: an entry with 68
 /// agents then wakes up some ten times a heartbeat, not twice for each agent. Wake-ups are most of
 /// what a link without work costs a thin entry (docs/MEASUREMENTS.md).
-fn beat(inner: &Inner, now: time::Duration) {
+fn send_heartbeats(inner: &Inner, now: time::Duration) {
     for link in mutex::lock(&inner.links).values() {
-        let written = *mutex::lock(&link.written);
-        if now.saturating_sub(written) >= inner.cfg.bounds.heartbeat.mul_f64(JUST_WRITTEN) {
-            link.news.notify_one();
+        let written = *mutex::lock(&link.written_at);
+        if now.saturating_sub(written)
+            >= inner.cfg.bounds.heartbeat.mul_f64(RECENT_WRITE_HEARTBEATS)
+        {
+            link.wake.notify_one();
         }
     }
 }
 
 /// Does what the board has decided.
-fn carry_out(inner: &Arc<Inner>) {
+fn perform_actions(inner: &Arc<Inner>) {
     let (actions, wants) = {
         let mut board = mutex::lock(&inner.board);
         (board.take_actions(), board.waiting_work())
@@ -285,44 +287,46 @@
     let links = mutex::lock(&inner.links);
     for action in actions {
         match action {
-            Action::Start(link, start) => out(&links, link, |out| out.starts.push(start)),
-            Action::Stop(link, run) => out(&links, link, |out| out.stops.push(run)),
+            Action::Start(link, start) => {
+                enqueue(&links, link, |message| message.starts.push(start))
+            }
+            Action::Stop(link, run) => enqueue(&links, link, |message| message.stops.push(run)),
             Action::Close(link) => {
                 if let Some(link) = links.get(&link) {
                     link.close.notify_one();
                 }
             }
-            Action::Link(change) => change_link(inner, change),
-            Action::Answer(no, outcome) => answer(inner, no, &outcome),
+            Action::Link(change) => apply_link_change(inner, change),
+            Action::Answer(no, outcome) => answer_callers(inner, no, &outcome),
         }
     }
-    let mut waits = mutex::lock(&inner.waits);
-    waits.wants = wants;
+    let mut waits = mutex::lock(&inner.demand);
+    waits.waiting_work = wants;
     if let Some(wants) = wants {
         for link in waits
-            .asking
+            .room_requests
             .links_to_ask(clock::since_boot(), wants.priority, &links)
         {
             if let Some(link) = links.get(&link) {
-                link.news.notify_one();
+                link.wake.notify_one();
             }
         }
     }
 }
 
-fn out(links: &BTreeMap<LinkNo, Arc<Link>>, link: LinkNo, add: impl FnOnce(&mut EntryMessage)) {
+fn enqueue(links: &BTreeMap<LinkNo, Arc<Link>>, link: LinkNo, add: impl FnOnce(&mut EntryMessage)) {
     if let Some(link) = links.get(&link) {
-        add(&mut mutex::lock(&link.out));
-        link.news.notify_one();
+        add(&mut mutex::lock(&link.outgoing));
+        link.wake.notify_one();
     }
 }
 
-fn change_link(inner: &Arc<Inner>, change: LinkChange) {
-    let mut kept = mutex::lock(&inner.kept);
+fn apply_link_change(inner: &Arc<Inner>, change: LinkChange) {
+    let mut kept = mutex::lock(&inner.link_stops);
     match change {
         LinkChange::Open(agent, addr) => {
             let (tx, rx) = oneshot::channel();
-            tokio::spawn(keep_link(inner.clone(), agent.clone(), addr, rx));
+            tokio::spawn(maintain_link(inner.clone(), agent.clone(), addr, rx));
             kept.insert(agent, tx);
         }
         LinkChange::Close(agent) => {
@@ -331,7 +335,7 @@
     }
 }
 
-fn answer(inner: &Inner, no: JobNo, outcome: &Outcome) {
+fn answer_callers(inner: &Inner, no: JobNo, outcome: &Outcome) {
     let waiting = mutex::lock(&inner.callers).remove(&no).unwrap_or_default();
     for tx in waiting {
         if tx.send(outcome.clone()).is_err() {
--- a/src/besteffort/line.rs
+++ b/src/besteffort/line.rs
@@ -13,7 +13,7 @@
 use crate::decide::besteffort::message::MAX_MESSAGE_BYTES;
 
 /// Longest that a write may take: a peer that doesn't read for so long counts as gone.
-const WRITE: time::Duration = time::Duration::from_millis(400);
+const WRITE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
 /// The reading side.
 #[derive(Debug)]
@@ -84,7 +84,7 @@
         self.buf.clear();
         serde_json::to_writer(&mut self.buf, line)?;
         self.buf.push(b'\n');
-        match timeout(WRITE, self.inner.write_all(&self.buf)).await {
+        match timeout(WRITE_TIMEOUT, self.inner.write_all(&self.buf)).await {
             Ok(result) => result,
             Err(_) => Err(io::ErrorKind::TimedOut.into()),
         }
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -7,19 +7,19 @@
 use crate::decide::besteffort::message::{
     AgentMessage, EntryIncarnation, Hello, Progress, Run, RunOutcome, Start,
 };
-use crate::decide::besteffort::slots::{millis, Entry, Held, Slots, State};
+use crate::decide::besteffort::slots::{millis, Entry, HeldRun, Slots, State};
 
 impl Slots {
     /// An entry has connected; returns what it should know first.
     pub fn entry_connected(&mut self, now: time::Duration, name: &EntryIncarnation) -> Hello {
         let entry = self.entries.entry(name.clone()).or_default();
-        entry.ended.clear();
-        entry.wants = None;
+        entry.unsent_ends.clear();
+        entry.waiting_work = None;
         entry.loan = None;
-        entry.crashes = self.crashes.all();
-        entry.heard = now;
+        entry.unsent_crashes = self.crashes.all();
+        entry.heard_at = now;
         entry.alive_until = now + self.bounds.silence;
-        let ended = entry.kept.iter().cloned().collect();
+        let ended = entry.recent_ends.iter().cloned().collect();
         let runs = self.held.iter().filter(|(_, held)| held.entry == *name);
         Hello {
             runs: runs.map(|(run, _)| run.clone()).collect(),
@@ -40,7 +40,7 @@
         let until = millis(seen_ms) + self.bounds.silence;
         if let Some(entry) = self.entries.get_mut(name) {
             entry.alive_until = entry.alive_until.max(until);
-            entry.heard = now;
+            entry.heard_at = now;
         }
         now < until
     }
@@ -57,35 +57,35 @@
             return;
         }
         let run = start.run.clone();
-        let held = Held {
+        let held = HeldRun {
             entry: name.clone(),
             state: State::Waiting,
             since: now,
-            unwanted: None,
+            must_end_since: None,
             stop_at: time::Duration::ZERO,
             percent: 0,
             percent_at: now,
             start,
         };
         let need = held.start.need;
-        self.redeem(name, &need);
-        self.waiting.insert(held.rank());
+        self.use_loan(name, &need);
+        self.waiting.insert(held.queue_key());
         self.held.insert(run.clone(), held);
         if !self.backend.size.fits(&need) {
-            self.end(now, &run, RunOutcome::NotRun);
+            self.end_run(now, &run, RunOutcome::NotRun);
         } else if !fresh {
             log::warn!(job = run.job.as_str(), task = run.task, run = run.number, entry = name.entry.as_str();
                 "start came too late to act on");
-            self.end(now, &run, RunOutcome::NotRun);
+            self.end_run(now, &run, RunOutcome::NotRun);
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// An entry doesn't want a run any more.
     pub fn withdraw(&mut self, now: time::Duration, name: &EntryIncarnation, run: &Run) {
         if self.held.get(run).is_some_and(|held| held.entry == *name) {
-            self.unwant(now, run);
-            self.pump(now);
+            self.require_end(now, run);
+            self.dispatch_waiting(now);
         }
     }
 
@@ -94,15 +94,15 @@
         let now_ms = now.as_millis() as u64;
         let mut line = AgentMessage {
             now_ms,
-            free: self.free().minus(&self.lent(Some(name))),
+            free: self.free().minus(&self.lent_room(Some(name))),
             sharers: self.sharers(now, name),
             ..AgentMessage::default()
         };
         if let Some(entry) = self.entries.get_mut(name) {
-            line.ended = std::mem::take(&mut entry.ended);
-            line.crashes = std::mem::take(&mut entry.crashes);
-            if let Some(loan) = entry.loan.as_mut().filter(|loan| loan.told_ms.is_none()) {
-                loan.told_ms = Some(now_ms);
+            line.ended = std::mem::take(&mut entry.unsent_ends);
+            line.crashes = std::mem::take(&mut entry.unsent_crashes);
+            if let Some(loan) = entry.loan.as_mut().filter(|loan| loan.sent_ms.is_none()) {
+                loan.sent_ms = Some(now_ms);
                 line.lent = loan.room;
             }
         }
@@ -122,14 +122,15 @@
     /// waiting leave their part to the others.
     fn sharers(&self, now: time::Duration, name: &EntryIncarnation) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != name);
-        let waiting = others.filter(|(_, e)| now < e.alive_until && e.wants.is_some());
+        let waiting = others.filter(|(_, e)| now < e.alive_until && e.waiting_work.is_some());
         1 + waiting.count() as u32
     }
 
     /// Whether an entry has something to hear before the next heartbeat.
     pub fn has_unsent(&self, name: &EntryIncarnation) -> bool {
         let entry = self.entries.get(name);
-        let untold = |e: &Entry| e.loan.is_some_and(|loan| loan.told_ms.is_none());
-        entry.is_some_and(|e| !e.ended.is_empty() || !e.crashes.is_empty() || untold(e))
+        let untold = |e: &Entry| e.loan.is_some_and(|loan| loan.sent_ms.is_none());
+        entry
+            .is_some_and(|e| !e.unsent_ends.is_empty() || !e.unsent_crashes.is_empty() || untold(e))
     }
 }
--- a/src/decide/besteffort/slots/held.rs
+++ b/src/decide/besteffort/slots/held.rs
@@ -14,21 +14,21 @@
     /// It runs.
     Running,
     /// The order had no answer; a stop will settle it.
-    Unsure,
+    StartUnconfirmed,
     /// A stop was answered; the next listing tells how it ended.
-    Closing,
+    StopConfirmed,
 }
 
 /// A run that an agent holds for an entry.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRun {
     pub(super) start: Start,
     pub(super) entry: EntryIncarnation,
     pub(super) state: State,
     /// Since when it waits or runs.
     pub(super) since: time::Duration,
     /// Since when it has to end: withdrawn, past its deadline, or its entry silent.
-    pub(super) unwanted: Option<time::Duration>,
+    pub(super) must_end_since: Option<time::Duration>,
     /// When the last stop was sent, or answered while closing.
     pub(super) stop_at: time::Duration,
     pub(super) percent: u8,
@@ -36,9 +36,9 @@
     pub(super) percent_at: time::Duration,
 }
 
-impl Held {
+impl HeldRun {
     /// The order in which starts wait for room.
-    pub(super) fn rank(&self) -> (u32, u64, Run) {
+    pub(super) fn queue_key(&self) -> (u32, u64, Run) {
         let start = &self.start;
         (start.priority, start.urgency_ms, start.run.clone())
     }
--- a/src/decide/besteffort/slots/incarnations.rs
+++ b/src/decide/besteffort/slots/incarnations.rs
@@ -16,7 +16,7 @@
 use crate::decide::besteffort::lease::Lease;
 use crate::decide::besteffort::message::{Backend, Heartbeat, Run, RunOutcome, ServerIncarnation};
 use crate::decide::besteffort::slots::{
-    Listing, Recipient, Slots, StaleMessage, State, ANOTHER_LIFE,
+    Listing, Recipient, Slots, StaleMessage, State, ANOTHER_INCARNATION,
 };
 
 /// Most lives that are checked at a time. A word of a dead life or of another writer must not push out
@@ -28,12 +28,12 @@
 pub(super) struct Candidate {
     /// The check that is under way; none after one that had no answer.
     check: Option<u64>,
-    newest: Heartbeat,
+    newest_heartbeat: Heartbeat,
 }
 
 impl Candidate {
-    fn life(&self) -> &ServerIncarnation {
-        &self.newest.backend.incarnation
+    fn incarnation(&self) -> &ServerIncarnation {
+        &self.newest_heartbeat.backend.incarnation
     }
 }
 
@@ -65,28 +65,31 @@
         now: time::Duration,
         heartbeat: Heartbeat,
     ) -> Option<Check> {
-        if self.past.contains(&heartbeat.backend.incarnation) {
-            self.late_heartbeat(&heartbeat);
+        if self
+            .dead_incarnations
+            .contains(&heartbeat.backend.incarnation)
+        {
+            self.count_late_heartbeat(&heartbeat);
             return None;
         }
         if heartbeat.backend.incarnation == self.backend.incarnation {
-            self.heartbeat(now, heartbeat);
+            self.apply_heartbeat(now, heartbeat);
             return None;
         }
-        self.checks += 1;
-        let check = self.checks;
+        self.last_check += 1;
+        let check = self.last_check;
         let incarnation = heartbeat.backend.incarnation.clone();
         match self
             .candidates
             .iter_mut()
-            .find(|c| *c.life() == incarnation)
+            .find(|c| *c.incarnation() == incarnation)
         {
-            Some(known) if heartbeat.number < known.newest.number => {
-                self.late_heartbeat(&heartbeat);
+            Some(known) if heartbeat.number < known.newest_heartbeat.number => {
+                self.count_late_heartbeat(&heartbeat);
                 return None;
             }
             Some(known) => {
-                known.newest = heartbeat;
+                known.newest_heartbeat = heartbeat;
                 if known.check.is_some() {
                     return None;
                 }
@@ -98,7 +101,7 @@
                 }
                 self.candidates.push_back(Candidate {
                     check: Some(check),
-                    newest: heartbeat,
+                    newest_heartbeat: heartbeat,
                 });
             }
         }
@@ -110,20 +113,20 @@
     }
 
     /// A heartbeat of the known life.
-    fn heartbeat(&mut self, now: time::Duration, heartbeat: Heartbeat) {
+    fn apply_heartbeat(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         if heartbeat.backend.service != self.backend.service {
             // A life stays with its service; this is another writer's word.
             log::warn!(instance = heartbeat.backend.incarnation.id.as_str(), service = heartbeat.backend.service.as_str();
                 "known life is said to be of another service");
         } else if heartbeat.number < self.last_heartbeat {
-            self.late_heartbeat(&heartbeat);
+            self.count_late_heartbeat(&heartbeat);
         } else {
             self.last_heartbeat = heartbeat.number;
-            self.update(now, heartbeat.backend);
+            self.update_backend(now, heartbeat.backend);
         }
     }
 
-    fn late_heartbeat(&mut self, heartbeat: &Heartbeat) {
+    fn count_late_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let life = &heartbeat.backend.incarnation;
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, seq = heartbeat.number,
             takes_work = heartbeat.backend.takes_work; "heartbeat is older than one heard");
@@ -145,12 +148,12 @@
         };
         let life = &check.to.incarnation;
         match checked {
-            CheckResult::Answered(listing) if is_of(&listing, life) => {
+            CheckResult::Answered(listing) if may_belong_to(&listing, life) => {
                 let Some(candidate) = self.candidates.remove(at) else {
                     return false;
                 };
                 let keeps_id = life.id == self.backend.incarnation.id;
-                self.take_up(now, candidate.newest);
+                self.adopt_incarnation(now, candidate.newest_heartbeat);
                 if !keeps_id {
                     self.listing_received(now, sent, listing);
                 }
@@ -160,7 +163,7 @@
                 log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
                     known = self.backend.incarnation.id.as_str(); "late word of a dead life");
                 self.candidates.remove(at);
-                self.past.insert(life.clone());
+                self.dead_incarnations.insert(life.clone());
                 false
             }
             CheckResult::NoAnswer => {
@@ -174,7 +177,7 @@
 
     /// Another life has answered under the id of the known one, which is dead then. Where the new one hasn't
     /// announced itself yet, nobody knows its room, and it gets nothing new until it does.
-    pub(super) fn came_back(&mut self, now: time::Duration, born_ms: Option<u64>) {
+    pub(super) fn restarted_under_same_id(&mut self, now: time::Duration, born_ms: Option<u64>) {
         let incarnation = ServerIncarnation {
             born_ms,
             ..self.backend.incarnation.clone()
@@ -182,7 +185,7 @@
         let at = self
             .candidates
             .iter()
-            .position(|c| *c.life() == incarnation);
+            .position(|c| *c.incarnation() == incarnation);
         let said = at.and_then(|at| self.candidates.remove(at));
         let heartbeat = said.map_or_else(
             || Heartbeat {
@@ -193,53 +196,54 @@
                 },
                 number: 0,
             },
-            |candidate| candidate.newest,
+            |candidate| candidate.newest_heartbeat,
         );
-        self.take_up(now, heartbeat);
+        self.adopt_incarnation(now, heartbeat);
     }
 
     /// The first sure sign of another life: what the one before ran has ended with it.
-    fn take_up(&mut self, now: time::Duration, heartbeat: Heartbeat) {
+    fn adopt_incarnation(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         let life = &heartbeat.backend.incarnation;
         if !self.backend.incarnation.id.is_empty() {
-            self.past.insert(self.backend.incarnation.clone());
+            self.dead_incarnations
+                .insert(self.backend.incarnation.clone());
         }
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
             before = self.backend.incarnation.id.as_str(), held = self.held.len(); "backend server has a new life");
-        self.life_ended(now);
+        self.incarnation_ended(now);
         self.counts.incarnations += 1;
         // What is known of the clock and the lease is of the life before.
         if life.id == self.backend.incarnation.id {
             self.lease = self.lease.next_incarnation();
-            self.inherit();
+            self.inherit_runs();
         } else {
             self.lease = Lease::open(self.bounds);
-            self.lost(now, ANOTHER_LIFE);
+            self.end_lost_runs(now, ANOTHER_INCARNATION);
         }
         // What was asked before may be answered by a life that has died since; what was said counts, and is
         // asked for again with the next word. Forgotten, a leave that was acknowledged would be undone by a
         // late heartbeat from before it.
         self.candidates
-            .retain(|known| *known.life() != heartbeat.backend.incarnation);
+            .retain(|known| *known.incarnation() != heartbeat.backend.incarnation);
         for known in &mut self.candidates {
             known.check = None;
         }
         self.acknowledged = 0;
-        self.newest_ms = 0;
+        self.newest_listing_ms = 0;
         self.last_heartbeat = heartbeat.number;
-        self.reached = false;
-        self.update(now, heartbeat.backend);
+        self.reachable = false;
+        self.update_backend(now, heartbeat.backend);
     }
 
     /// Runs that were with a life of the same id are with nobody, or with the new one: an order that was
     /// on its way reaches whichever life is there. Given up at once, its task would run elsewhere beside
     /// it. The first listing under the new fence tells which it is.
-    fn inherit(&mut self) {
-        let with_server = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
-        self.inherited = with_server.map(|(run, _)| run.clone()).collect();
+    fn inherit_runs(&mut self) {
+        let task_on_server = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
+        self.inherited = task_on_server.map(|(run, _)| run.clone()).collect();
     }
 
-    fn update(&mut self, now: time::Duration, backend: Backend) {
+    fn update_backend(&mut self, now: time::Duration, backend: Backend) {
         if backend.takes_work != self.backend.takes_work {
             log::info!(instance = backend.incarnation.id.as_str(), born_ms = backend.incarnation.born_ms,
                 takes_work = backend.takes_work;
@@ -252,13 +256,13 @@
         }
         self.backend = backend;
         if shrunk {
-            self.make_room(now);
+            self.return_unfitting_starts(now);
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// Room has gone: what waits for it goes elsewhere, and none is kept for anybody.
-    fn make_room(&mut self, now: time::Duration) {
+    fn return_unfitting_starts(&mut self, now: time::Duration) {
         for entry in self.entries.values_mut() {
             entry.loan = None;
         }
@@ -271,7 +275,7 @@
         };
         let crowded: Vec<Run> = waiting.filter(|run| !fits(run)).cloned().collect();
         for run in crowded {
-            self.end(now, &run, RunOutcome::NotRun);
+            self.end_run(now, &run, RunOutcome::NotRun);
         }
     }
 
@@ -286,19 +290,20 @@
         log::info!(instance = life.id.as_str(), born_ms = life.born_ms, known = known; "backend server has left");
         if known {
             self.backend.takes_work = false;
-            self.pump(now);
+            self.dispatch_waiting(now);
         }
         // Its earlier word, which is still being checked, would bring it back as one that takes work.
-        self.candidates.retain(|known| !is_meant(known.life()));
+        self.candidates
+            .retain(|known| !is_meant(known.incarnation()));
     }
 
     /// Another life of the backend server has answered; nothing of the one that is known runs.
     pub fn another_incarnation_answered(&mut self, now: time::Duration) {
-        self.lost(now, ANOTHER_LIFE);
+        self.end_lost_runs(now, ANOTHER_INCARNATION);
     }
 }
 
 /// Whether a listing may be of a life; before any is known it is of whichever answers.
-pub(super) fn is_of(listing: &Listing, life: &ServerIncarnation) -> bool {
+pub(super) fn may_belong_to(listing: &Listing, life: &ServerIncarnation) -> bool {
     life.id.is_empty() || listing.born_ms.is_none() || listing.born_ms == life.born_ms
 }
--- a/src/decide/besteffort/slots/lend.rs
+++ b/src/decide/besteffort/slots/lend.rs
@@ -12,7 +12,7 @@
 
 /// How long room is kept for an entry that was told of it: an exchange between failure domains (2 ms),
 /// and the turn of an entry that has much to do.
-const KEPT_FOR: time::Duration = time::Duration::from_millis(25);
+const LOAN_DURATION: time::Duration = time::Duration::from_millis(25);
 
 /// Room that is kept for one entry.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
     tasks: u32,
     until: time::Duration,
     /// The agent's clock in the line that told of it; none before it was told.
-    pub(super) told_ms: Option<u64>,
+    pub(super) sent_ms: Option<u64>,
 }
 
 impl Slots {
@@ -38,16 +38,16 @@
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
-        entry.wants = wants;
-        let told = entry.loan.and_then(|loan| loan.told_ms);
+        entry.waiting_work = wants;
+        let told = entry.loan.and_then(|loan| loan.sent_ms);
         if told.is_some_and(|told| seen_ms >= told) {
             entry.loan = None;
         }
-        self.lend(now);
+        self.lend_free_room(now);
     }
 
     /// A start has come: the room that was kept for it isn't kept any more.
-    pub(super) fn redeem(&mut self, name: &EntryIncarnation, need: &Room) {
+    pub(super) fn use_loan(&mut self, name: &EntryIncarnation, need: &Room) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
@@ -61,24 +61,24 @@
     }
 
     /// Room that is kept for entries, but for one.
-    pub(super) fn lent(&self, but: Option<&EntryIncarnation>) -> Room {
+    pub(super) fn lent_room(&self, but: Option<&EntryIncarnation>) -> Room {
         let others = self.entries.iter().filter(|(name, _)| Some(*name) != but);
         let loans = others.filter_map(|(_, entry)| entry.loan);
         loans.fold(Room::default(), |sum, loan| sum.plus(&loan.room))
     }
 
     /// Lends what is free to the entries whose work is most urgent.
-    pub(super) fn lend(&mut self, now: time::Duration) {
+    pub(super) fn lend_free_room(&mut self, now: time::Duration) {
         for entry in self.entries.values_mut() {
             entry.loan = entry.loan.filter(|loan| now < loan.until);
         }
         if !self.takes_work() {
             return;
         }
-        let mut free = self.free().minus(&self.lent(None));
+        let mut free = self.free().minus(&self.lent_room(None));
         loop {
             let asking = self.entries.values_mut().filter_map(|entry| {
-                let wants = entry.wants?;
+                let wants = entry.waiting_work?;
                 let lent = entry.loan.map_or(0, |loan| loan.tasks);
                 let more = lent < wants.tasks && free.fits(&wants.need);
                 (more && now < entry.alive_until).then_some((wants, entry))
@@ -94,8 +94,8 @@
             entry.loan = Some(Loan {
                 room: before.0.plus(&wants.need),
                 tasks: before.1 + 1,
-                until: now + KEPT_FOR,
-                told_ms: None,
+                until: now + LOAN_DURATION,
+                sent_ms: None,
             });
         }
     }
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -25,39 +25,39 @@
 
 pub use counts::{Counts, StaleMessage};
 pub use crashes::Isolation;
-use held::{Held, State};
+use held::{HeldRun, State};
 pub use incarnations::{Check, CheckResult};
 pub use order::{Listing, Order, Recipient, StartAnswer};
 
 /// Why runs are lost, in logs and metrics.
 const LEASE_RAN_OUT: &str = "lease ran out";
-const ANOTHER_LIFE: &str = "another life";
+const ANOTHER_INCARNATION: &str = "another life";
 
 /// Ends that are repeated when an entry connects again.
-const KEPT_ENDS: usize = 128;
+const RETAINED_ENDS: usize = 128;
 
 /// Waiting starts that are looked at for one that fits; keeps a full agent from long scans.
-const LOOK_AHEAD: usize = 8;
+const MAX_STARTS_CONSIDERED: usize = 8;
 
 /// How long a stop may go unanswered before it is sent again.
-const STOP_AGAIN: time::Duration = time::Duration::from_millis(50);
+const STOP_RESEND_AFTER: time::Duration = time::Duration::from_millis(50);
 
 /// Part of the lease for which the backend server may be silent before nothing new is sent to it.
-const UNREACHED: f64 = 0.7;
+const UNREACHABLE_AFTER_LEASES: f64 = 0.7;
 
 /// How long an entry that is gone is remembered.
-const FORGET_ENTRY: time::Duration = time::Duration::from_secs(10);
+const ENTRY_RETENTION: time::Duration = time::Duration::from_secs(10);
 
 #[derive(Debug, Default)]
 struct Entry {
     alive_until: time::Duration,
-    heard: time::Duration,
-    ended: Vec<RunEnd>,
-    kept: VecDeque<RunEnd>,
+    heard_at: time::Duration,
+    unsent_ends: Vec<RunEnd>,
+    recent_ends: VecDeque<RunEnd>,
     /// Crashes that it hasn't been told of.
-    crashes: Vec<Crash>,
+    unsent_crashes: Vec<Crash>,
     /// What waits there.
-    wants: Option<WaitingWork>,
+    waiting_work: Option<WaitingWork>,
     /// Room that is kept for it.
     loan: Option<lend::Loan>,
 }
@@ -71,34 +71,34 @@
     /// then: an end that is acknowledged isn't listed again.
     acknowledged: u64,
     /// The backend server's clock in the newest listing of this life.
-    newest_ms: u64,
+    newest_listing_ms: u64,
     backend: Backend,
     /// Lives that may be there, while they are checked.
     candidates: VecDeque<incarnations::Candidate>,
-    checks: u64,
+    last_check: u64,
     /// Lives that are dead.
-    past: HashSet<ServerIncarnation>,
+    dead_incarnations: HashSet<ServerIncarnation>,
     /// The number of the newest heartbeat of the known life.
     last_heartbeat: u64,
     /// Runs that were with the life before under the same id, until the known one has listed what it has.
     inherited: Vec<Run>,
-    held: BTreeMap<Run, Held>,
+    held: BTreeMap<Run, HeldRun>,
     waiting: BTreeSet<(u32, u64, Run)>,
     used: Room,
     entries: BTreeMap<EntryIncarnation, Entry>,
     orders: Vec<Order>,
     /// When runs that nobody here asked for were told to stop.
-    alien_stops: BTreeMap<Run, time::Duration>,
+    unknown_run_stops: BTreeMap<Run, time::Duration>,
     stopping: bool,
     crashes: crashes::Crashes,
     isolation: Isolation,
     /// Whether a suspect keeps others from beginning.
-    reserved: bool,
+    reserved_for_suspect: bool,
     /// The newest word on whether the agent's failure domain is evacuated.
     evacuation: evacuation::DomainState,
     /// Whether the backend server was heard lately, and nothing lengthens its lease beyond what the agent
     /// asks for.
-    reached: bool,
+    reachable: bool,
     /// What the agent did since the start.
     pub counts: Counts,
 }
@@ -114,11 +114,11 @@
             bounds,
             lease: Lease::open(bounds),
             acknowledged: 0,
-            newest_ms: 0,
+            newest_listing_ms: 0,
             backend: Backend::default(),
             candidates: VecDeque::new(),
-            checks: 0,
-            past: HashSet::new(),
+            last_check: 0,
+            dead_incarnations: HashSet::new(),
             last_heartbeat: 0,
             inherited: Vec::new(),
             held: BTreeMap::new(),
@@ -126,13 +126,13 @@
             used: Room::default(),
             entries: BTreeMap::new(),
             orders: Vec::new(),
-            alien_stops: BTreeMap::new(),
+            unknown_run_stops: BTreeMap::new(),
             stopping: false,
             crashes: crashes::Crashes::default(),
             isolation: Isolation::default(),
-            reserved: false,
+            reserved_for_suspect: false,
             evacuation: evacuation::DomainState::default(),
-            reached: false,
+            reachable: false,
             counts: Counts::default(),
         }
     }
@@ -159,7 +159,7 @@
     }
 
     fn takes_work(&self) -> bool {
-        self.backend.takes_work && self.reached && !self.stopping && !self.evacuation.evacuated
+        self.backend.takes_work && self.reachable && !self.stopping && !self.evacuation.evacuated
     }
 
     /// The backend server as it last announced itself.
@@ -169,7 +169,7 @@
 
     /// Room that nobody uses or waits for.
     pub fn free(&self) -> Room {
-        if self.reserved {
+        if self.reserved_for_suspect {
             return Room::default();
         }
         let waiting = self
@@ -199,7 +199,7 @@
     /// Takes no more work; what runs goes on.
     pub fn stop_accepting(&mut self, now: time::Duration) {
         self.stopping = true;
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// Takes in an entry's word on whether the failure domain is evacuated: nothing new starts meanwhile,
@@ -214,7 +214,7 @@
         if changed {
             log::info!(evacuated = word.evacuated, version = word.version;
                 "failure domain was evacuated or taken back");
-            self.pump(now);
+            self.dispatch_waiting(now);
         }
         changed
     }
@@ -223,7 +223,7 @@
     pub fn end_all_runs(&mut self, now: time::Duration) {
         let all: Vec<Run> = self.held.keys().cloned().collect();
         for run in all {
-            self.unwant(now, &run);
+            self.require_end(now, &run);
         }
     }
 
@@ -231,14 +231,14 @@
     pub fn tick(&mut self, now: time::Duration) {
         if self
             .lease
-            .is_silent(now, self.bounds.lease.mul_f64(UNREACHED))
+            .is_silent(now, self.bounds.lease.mul_f64(UNREACHABLE_AFTER_LEASES))
         {
-            self.reach(now, false);
+            self.set_reachable(now, false);
         }
         if self.is_working() && self.lease.has_lapsed(now) {
-            self.lost(now, LEASE_RAN_OUT);
+            self.end_lost_runs(now, LEASE_RAN_OUT);
         }
-        let mut unwanted = Vec::new();
+        let mut must_end_since = Vec::new();
         let mut bounced = Vec::new();
         for (run, held) in &self.held {
             let silent = self
@@ -249,24 +249,24 @@
             let waited = now.saturating_sub(held.since) >= millis(held.start.patience_ms);
             if held.state == State::Waiting && waited {
                 bounced.push(run.clone());
-            } else if (silent || past) && held.unwanted.is_none() {
+            } else if (silent || past) && held.must_end_since.is_none() {
                 log::info!(job = run.job.as_str(), task = run.task, run = run.number,
                     entry = held.entry.entry.as_str(), silent = silent, past_deadline = past;
                     "ending a run that nobody waits for");
-                unwanted.push(run.clone());
+                must_end_since.push(run.clone());
             }
         }
         for run in bounced {
-            self.end(now, &run, RunOutcome::NotRun);
+            self.end_run(now, &run, RunOutcome::NotRun);
         }
-        for run in unwanted {
-            self.unwant(now, &run);
+        for run in must_end_since {
+            self.require_end(now, &run);
         }
-        self.stop_again(now);
+        self.resend_stops(now);
         self.forget_crashes(now);
         self.entries
-            .retain(|_, e| now.saturating_sub(e.heard) < FORGET_ENTRY);
-        self.pump(now);
+            .retain(|_, e| now.saturating_sub(e.heard_at) < ENTRY_RETENTION);
+        self.dispatch_waiting(now);
     }
 
     /// Orders for the backend server that have come up.
@@ -274,10 +274,12 @@
         std::mem::take(&mut self.orders)
     }
 
-    fn stop_again(&mut self, now: time::Duration) {
+    fn resend_stops(&mut self, now: time::Duration) {
         let due = self.held.iter().filter(|(_, held)| {
-            let waits = matches!(held.state, State::Running | State::Unsure);
-            held.unwanted.is_some() && waits && now.saturating_sub(held.stop_at) >= STOP_AGAIN
+            let waits = matches!(held.state, State::Running | State::StartUnconfirmed);
+            held.must_end_since.is_some()
+                && waits
+                && now.saturating_sub(held.stop_at) >= STOP_RESEND_AFTER
         });
         let due: Vec<Run> = due.map(|(run, _)| run.clone()).collect();
         for run in due {
@@ -285,15 +287,15 @@
         }
     }
 
-    fn unwant(&mut self, now: time::Duration, run: &Run) {
+    fn require_end(&mut self, now: time::Duration, run: &Run) {
         let Some(held) = self.held.get_mut(run) else {
             return;
         };
         if held.state == State::Waiting {
-            self.end(now, run, RunOutcome::NotRun);
+            self.end_run(now, run, RunOutcome::NotRun);
             return;
         }
-        held.unwanted.get_or_insert(now);
+        held.must_end_since.get_or_insert(now);
         // A start on its way is stopped once it is answered: a stop that overtook it would be
         // answered before the run is there.
         if held.state != State::Starting {
@@ -314,12 +316,12 @@
         self.orders.push(Order::Stop { to, run });
     }
 
-    fn end(&mut self, now: time::Duration, run: &Run, outcome: RunOutcome) {
+    fn end_run(&mut self, now: time::Duration, run: &Run, outcome: RunOutcome) {
         let Some(held) = self.held.remove(run) else {
             return;
         };
         if held.state == State::Waiting {
-            self.waiting.remove(&held.rank());
+            self.waiting.remove(&held.queue_key());
         } else {
             self.used = self.used.minus(&held.start.need);
         }
@@ -333,36 +335,36 @@
             outcome,
             took_ms: took.as_millis() as u64,
         };
-        entry.ended.push(ended.clone());
-        entry.kept.push_back(ended);
-        if entry.kept.len() > KEPT_ENDS {
-            entry.kept.pop_front();
+        entry.unsent_ends.push(ended.clone());
+        entry.recent_ends.push_back(ended);
+        if entry.recent_ends.len() > RETAINED_ENDS {
+            entry.recent_ends.pop_front();
         }
     }
 
     /// Starts what fits, and turns away what can't start here.
-    fn pump(&mut self, now: time::Duration) {
+    fn dispatch_waiting(&mut self, now: time::Duration) {
         if !self.takes_work() {
             let all: Vec<Run> = self.waiting.iter().map(|(.., run)| run.clone()).collect();
             for run in all {
-                self.end(now, &run, RunOutcome::NotRun);
+                self.end_run(now, &run, RunOutcome::NotRun);
             }
             return;
         }
-        let ahead = self.waiting.iter().take(LOOK_AHEAD);
+        let ahead = self.waiting.iter().take(MAX_STARTS_CONSIDERED);
         let ahead: Vec<Run> = ahead.map(|(.., run)| run.clone()).collect();
         for run in ahead {
             self.start_if_fits(now, &run);
         }
-        for run in self.crowded_suspects(now) {
-            self.end(now, &run, RunOutcome::NotRun);
+        for run in self.surplus_suspects(now) {
+            self.end_run(now, &run, RunOutcome::NotRun);
         }
-        self.reserved = self.is_reserved(now);
-        self.lend(now);
+        self.reserved_for_suspect = self.is_reserved_for_suspect(now);
+        self.lend_free_room(now);
     }
 
     /// Whether an earlier run of the same task hasn't ended here; a later one would run beside it.
-    fn has_earlier(&self, run: &Run) -> bool {
+    fn has_earlier_run(&self, run: &Run) -> bool {
         let first = Run {
             number: 0,
             ..run.clone()
@@ -373,9 +375,10 @@
 
     fn start_if_fits(&mut self, now: time::Duration, run: &Run) {
         let free = self.backend.size.minus(&self.used);
-        let fits =
-            |held: &Held| free.fits(&held.start.need) && !self.is_kept_apart(now, &held.start);
-        if !self.held.get(run).is_some_and(fits) || self.has_earlier(run) {
+        let fits = |held: &HeldRun| {
+            free.fits(&held.start.need) && !self.must_wait_for_isolation(now, &held.start)
+        };
+        if !self.held.get(run).is_some_and(fits) || self.has_earlier_run(run) {
             return;
         }
         // The lease covers the run from the order on. Were it renewed only as the order leaves, the
@@ -390,7 +393,7 @@
         held.state = State::Starting;
         held.since = now;
         self.used = self.used.plus(&held.start.need);
-        self.waiting.remove(&held.rank());
+        self.waiting.remove(&held.queue_key());
         let input = held.start.input.clone();
         self.orders.push(Order::Start {
             to: self.recipient(),
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -5,18 +5,18 @@
 
 use crate::decide::besteffort::lease;
 use crate::decide::besteffort::message::{Run, RunOutcome};
-use crate::decide::besteffort::slots::incarnations::is_of;
+use crate::decide::besteffort::slots::incarnations::may_belong_to;
 use crate::decide::besteffort::slots::{
-    millis, Held, Listing, Slots, StaleMessage, StartAnswer, State, STOP_AGAIN,
+    millis, HeldRun, Listing, Slots, StaleMessage, StartAnswer, State, STOP_RESEND_AFTER,
 };
 
 /// Part of the lease after which a renewal that wasn't answered is sent once more, on its own; the
 /// listing that should have brought it is late.
-const RENEW_AGAIN: f64 = 0.4;
+const RENEW_AGAIN_AFTER_LEASES: f64 = 0.4;
 
 impl Slots {
     /// Everything that was with the backend server has ended: its lease ran out or it is another.
-    pub(super) fn lost(&mut self, now: time::Duration, why: &'static str) {
+    pub(super) fn end_lost_runs(&mut self, now: time::Duration, why: &'static str) {
         let gone = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
         let gone: Vec<Run> = gone.map(|(run, _)| run.clone()).collect();
         if !gone.is_empty() {
@@ -24,8 +24,8 @@
             *self.counts.leases_lost.entry(why).or_default() += 1;
         }
         for run in gone {
-            self.remember_lost(now, &run);
-            self.end(now, &run, RunOutcome::Gone);
+            self.record_lost_run(now, &run);
+            self.end_run(now, &run, RunOutcome::Gone);
         }
     }
 
@@ -39,8 +39,8 @@
         if self.backend.incarnation.id.is_empty() {
             return None;
         }
-        let open = |held: &Held| !matches!(held.state, State::Waiting | State::Closing);
-        let overdue = |held: &Held| now > self.must_end(held) + lease::DELAY_MARGIN;
+        let open = |held: &HeldRun| !matches!(held.state, State::Waiting | State::StopConfirmed);
+        let overdue = |held: &HeldRun| now > self.end_due_at(held) + lease::DELAY_MARGIN;
         if self.held.values().any(|held| open(held) && overdue(held)) {
             return None;
         }
@@ -48,11 +48,14 @@
     }
 
     /// When a run has to end: withdrawn, past its deadline, or its entry not heard.
-    fn must_end(&self, held: &Held) -> time::Duration {
+    fn end_due_at(&self, held: &HeldRun) -> time::Duration {
         let entry = self.entries.get(&held.entry);
         let heard = entry.map_or(time::Duration::ZERO, |entry| entry.alive_until);
         let deadline = millis(held.start.deadline_ms);
-        held.unwanted.unwrap_or(deadline).min(deadline).min(heard)
+        held.must_end_since
+            .unwrap_or(deadline)
+            .min(deadline)
+            .min(heard)
     }
 
     /// The last end that needn't be listed any more.
@@ -65,7 +68,7 @@
         self.is_working()
             && self
                 .lease
-                .is_renewal_overdue(now, self.bounds.lease.mul_f64(RENEW_AGAIN))
+                .is_renewal_overdue(now, self.bounds.lease.mul_f64(RENEW_AGAIN_AFTER_LEASES))
     }
 
     /// Counts a word of the backend server that tells nothing any more.
@@ -74,14 +77,14 @@
     }
 
     /// Takes in whether the backend server answers; nothing is started while it doesn't.
-    pub(super) fn reach(&mut self, now: time::Duration, reached: bool) {
-        if self.reached == reached {
+    pub(super) fn set_reachable(&mut self, now: time::Duration, reachable: bool) {
+        if self.reachable == reachable {
             return;
         }
-        self.reached = reached;
-        log::info!(instance = self.backend.incarnation.id.as_str(), born_ms = self.backend.incarnation.born_ms, reached = reached;
+        self.reachable = reachable;
+        log::info!(instance = self.backend.incarnation.id.as_str(), born_ms = self.backend.incarnation.born_ms, reached = reachable;
             "backend server's reach changed");
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// A start was answered, or its time ran out.
@@ -97,23 +100,23 @@
             StartAnswer::Accepted => {
                 held.state = State::Running;
                 held.since = now;
-                if held.unwanted.is_some() {
+                if held.must_end_since.is_some() {
                     self.send_stop(now, run);
                 }
-                self.may_have_begun(now);
+                self.start_may_have_begun(now);
             }
-            StartAnswer::Refused => self.end(now, run, RunOutcome::NotRun),
-            StartAnswer::Unhealthy => self.end(now, run, RunOutcome::Rejected),
+            StartAnswer::Refused => self.end_run(now, run, RunOutcome::NotRun),
+            StartAnswer::Unhealthy => self.end_run(now, run, RunOutcome::Rejected),
             StartAnswer::Unknown => {
-                held.state = State::Unsure;
-                held.unwanted.get_or_insert(now);
+                held.state = State::StartUnconfirmed;
+                held.must_end_since.get_or_insert(now);
                 log::warn!(job = run.job.as_str(), task = run.task, run = run.number;
                     "start had no answer");
                 self.send_stop(now, run);
-                self.may_have_begun(now);
+                self.start_may_have_begun(now);
             }
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 
     /// A stop was answered: the run ends within the stop's grace, or never begins. Returns whether
@@ -123,8 +126,8 @@
         let Some(held) = self.held.get_mut(run) else {
             return false;
         };
-        let unsure = held.state == State::Unsure;
-        held.state = State::Closing;
+        let unsure = held.state == State::StartUnconfirmed;
+        held.state = State::StopConfirmed;
         held.stop_at = now;
         unsure
     }
@@ -143,43 +146,44 @@
         sent: time::Duration,
         listing: Listing,
     ) {
-        if !is_of(&listing, &self.backend.incarnation) {
-            self.came_back(now, listing.born_ms);
+        if !may_belong_to(&listing, &self.backend.incarnation) {
+            self.restarted_under_same_id(now, listing.born_ms);
             return;
         }
-        if listing.clock_ms < self.newest_ms {
+        if listing.clock_ms < self.newest_listing_ms {
             self.count_stale(StaleMessage::Listing);
             return;
         }
-        self.newest_ms = listing.clock_ms;
-        self.life_answered(now);
+        self.newest_listing_ms = listing.clock_ms;
+        self.incarnation_answered(now);
         self.lease.record_answer(sent, now, listing.clock_ms);
         let is_long = self.lease.outlasts_new_lease(now);
-        self.reach(now, !is_long);
+        self.set_reachable(now, !is_long);
         self.acknowledged = self.acknowledged.max(listing.last_end);
         for (run, how) in &listing.ended {
-            self.end(now, run, *how);
+            self.end_run(now, run, *how);
         }
-        let mut alien = Vec::new();
+        let mut unknown = Vec::new();
         for (run, percent) in &listing.running {
             match self.held.get_mut(run) {
                 Some(held) => {
                     held.percent = *percent;
                     held.percent_at = now;
                 }
-                None => alien.push(run.clone()),
+                None => unknown.push(run.clone()),
             }
         }
-        for run in alien {
+        for run in unknown {
             let again = self
-                .alien_stops
+                .unknown_run_stops
                 .get(&run)
-                .is_some_and(|at| now < *at + STOP_AGAIN);
+                .is_some_and(|at| now < *at + STOP_RESEND_AFTER);
             if again {
                 continue;
             }
-            self.alien_stops.retain(|_, at| now < *at + STOP_AGAIN);
-            self.alien_stops.insert(run.clone(), now);
+            self.unknown_run_stops
+                .retain(|_, at| now < *at + STOP_RESEND_AFTER);
+            self.unknown_run_stops.insert(run.clone(), now);
             log::warn!(job = run.job.as_str(), task = run.task, run = run.number;
                 "stopping a run that nobody here asked for");
             self.order_stop(run);
@@ -188,20 +192,20 @@
         // No order for the life before is carried out any more; what isn't here never will be.
         for run in std::mem::take(&mut self.inherited) {
             if !running.contains(&run) {
-                self.end(now, &run, RunOutcome::Gone);
+                self.end_run(now, &run, RunOutcome::Gone);
             }
         }
-        let missing = |held: &Held| match held.state {
+        let missing = |held: &HeldRun| match held.state {
             State::Running => sent > held.since,
-            State::Closing => sent > held.stop_at,
-            State::Waiting | State::Starting | State::Unsure => false,
+            State::StopConfirmed => sent > held.stop_at,
+            State::Waiting | State::Starting | State::StartUnconfirmed => false,
         };
         let gone = self.held.iter();
         let gone = gone.filter(|(run, held)| missing(held) && !running.contains(run));
         let gone: Vec<Run> = gone.map(|(run, _)| run.clone()).collect();
         for run in gone {
-            self.end(now, &run, RunOutcome::Gone);
+            self.end_run(now, &run, RunOutcome::Gone);
         }
-        self.pump(now);
+        self.dispatch_waiting(now);
     }
 }
