--- a/src/decide/besteffort/slots/counts.rs
+++ b/src/decide/besteffort/slots/counts.rs
@@ -1,20 +1,20 @@
-//! What an agent did since the start, for the metrics page.
+//! Counters of what an agent has done since its start, for the metrics page.
 
 use std::collections::BTreeMap;
 
 use crate::metrics;
 
-/// Words of the backend server that are passed over since a newer one is known.
+/// Messages of the backend server that are ignored because newer information is known.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum StaleMessage {
-    /// What it says of itself.
+    /// A heartbeat, in which the backend server announces its state.
     Heartbeat,
-    /// What it says that it has.
+    /// A listing of the backend server's runs.
     Listing,
 }
 
 impl StaleMessage {
-    /// Its name in metrics.
+    /// The value of the label `word` in metrics.
     pub fn name(self) -> &'static str {
         match self {
             StaleMessage::Heartbeat => "heartbeat",
@@ -23,22 +23,24 @@
     }
 }
 
-/// The counts.
+/// What an agent has counted since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// From a run's start, or its arrival if it never began, to its end; by how it ended.
+    /// Time from a run's start, or from its arrival if it never began, to its end, by outcome.
     pub run_seconds: metrics::Seconds,
-    /// Starts by what came of them.
+    /// Starts sent, by their answer ([`StartAnswer::name`](super::StartAnswer::name)).
     pub starts: BTreeMap<&'static str, u64>,
-    /// Stops sent, repeated ones included.
+    /// Stops sent, including those sent again.
     pub stops: u64,
-    /// Times that the lease ran out, or the backend server crashed, under runs; by which it was.
+    /// How often runs were lost because the lease ran out or another incarnation of the backend
+    /// server answered, by cause.
     pub leases_lost: BTreeMap<&'static str, u64>,
-    /// Crashes of the backend server under runs that may have caused them.
+    /// Crashes of the backend server with runs on it that may have caused the crash.
     pub crashes: u64,
-    /// Lives of the backend server that were taken up.
+    /// Incarnations of the backend server that the agent has accepted as the current one.
     pub incarnations: u64,
-    /// Words of it that came too late to tell anything. Some are overtaken now and then; many on end tell
-    /// of a backend server that isn't believed.
+    /// Messages of the backend server that were ignored as outdated. A few are normal, since
+    /// messages overtake each other; a steady stream means that the agent ignores a backend server
+    /// that is up.
     pub stale_messages: BTreeMap<StaleMessage, u64>,
 }
--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -1,8 +1,10 @@
-//! Crashes of the backend server, the runs that may have caused them, and how suspects are kept apart.
+//! Detects crashes of the backend server, names the runs that may have caused them, and isolates
+//! suspected tasks from other work.
 //!
-//! Silence is no sign of a crash: a cut link or a process that stands still looks the same, and a planned stop
-//! says so before. A crash is known by a connection that is refused, or by another life that has answered,
-//! of a backend server that hadn't said that it leaves.
+//! Silence doesn't prove a crash: a cut link or a paused process looks the same, and a planned stop
+//! is announced beforehand. The agent concludes that a backend server has crashed if a connection
+//! to it is refused, or if another incarnation of it answers, and it hadn't announced that it
+//! leaves.
 
 use std::collections::VecDeque;
 use std::time;
@@ -11,58 +13,61 @@
 use crate::decide::besteffort::message::{Crash, Run, Start, TaskName};
 use crate::decide::besteffort::slots::{HeldRun, Recipient, Slots, State};
 
-/// How a suspect is kept from other work.
+/// How a suspected task is isolated from other work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Isolation {
-    /// Not at all.
+    /// No isolation: suspects run beside other work.
     Together,
-    /// Nothing else begins shortly before it and while it is on probation, so that a crash in that time is
-    /// its own. What has run for longer goes on.
+    /// Nothing else starts shortly before a suspect or while it is on probation, so that a crash in
+    /// that time is caused by the suspect. Runs that began earlier continue.
     #[default]
     Probation,
-    /// Nothing else runs beside it.
+    /// Nothing else runs beside a suspect.
     Alone,
 }
 
-/// A task that was with a backend server.
+/// A task of which the backend server had, or may have had, a run.
 #[derive(Clone, Debug)]
 struct TaskOnServer {
     name: TaskName,
-    /// Whether it had just begun when the backend server was heard last.
+    /// Whether the run had begun less than [`PROBATION`] before the backend server was last known
+    /// to be up.
     just_started: bool,
     suspect: bool,
 }
 
-/// What an agent knows of crashes.
+/// What an agent knows of the crashes of its backend server.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    /// The newest ones, and when they were found.
+    /// The remembered crashes, oldest first, and when each was detected.
     known: VecDeque<(time::Duration, Crash)>,
-    /// Whether the known life has refused a connection since it last answered.
+    /// Whether the current incarnation has refused a connection since its last answer.
     connection_refused: bool,
-    /// What was with the known life when it was given up as lost.
+    /// The tasks whose runs were given up as lost while the current incarnation was silent.
     lost: Vec<TaskOnServer>,
 }
 
 impl Crashes {
-    /// All that is remembered.
+    /// Returns all remembered crashes, for an entry that has just connected.
     pub(super) fn all(&self) -> Vec<Crash> {
         self.known.iter().map(|(_, crash)| crash.clone()).collect()
     }
 }
 
 impl Slots {
-    /// The crashes that are remembered.
+    /// Returns the crashes that are remembered, for [`REMEMBERED_FOR`] each.
     pub fn crashes(&self) -> Vec<Crash> {
         self.crashes.all()
     }
 
-    /// Sets how suspects are kept from other work.
+    /// Sets how suspects are isolated; [`Isolation::Probation`] unless this is called.
     pub fn set_isolation(&mut self, isolation: Isolation) {
         self.isolation = isolation;
     }
 
-    /// Nothing listens where a life of the backend server was asked.
+    /// Handles a connection that was refused because nothing listens at the backend server's
+    /// address. Ignores it if another incarnation has been accepted since the call to `to` was
+    /// decided.
     pub fn connection_refused(&mut self, now: time::Duration, to: &Recipient) {
         if *to != self.recipient() || to.incarnation.id.is_empty() {
             return;
@@ -74,7 +79,8 @@
         }
     }
 
-    /// The life that was known has ended. What was with it is suspected, unless it had said that it leaves.
+    /// Records that the current incarnation has ended. The tasks on it become suspects, unless it
+    /// had announced that it leaves.
     pub(super) fn incarnation_ended(&mut self, now: time::Duration) {
         if !self.crashes.connection_refused {
             self.record_crash(now);
@@ -83,7 +89,8 @@
         self.crashes.lost.clear();
     }
 
-    /// The known life has answered: whatever looked like a crash was none.
+    /// Records that the current incarnation has answered: it hasn't crashed. A crash that was
+    /// reported for it is replaced by an empty one, which withdraws the suspicion.
     pub(super) fn incarnation_answered(&mut self, now: time::Duration) {
         self.crashes.lost.clear();
         if std::mem::take(&mut self.crashes.connection_refused) {
@@ -91,7 +98,8 @@
         }
     }
 
-    /// Remembers what is given up with the backend server, until it is known what became of that.
+    /// Remembers the task of a run that is given up as lost. If it turns out later that the backend
+    /// server has crashed, the task is one of the suspects.
     pub(super) fn record_lost_run(&mut self, now: time::Duration, run: &Run) {
         let lost = self
             .held
@@ -100,14 +108,16 @@
         self.crashes.lost.extend(lost);
     }
 
-    /// A start has begun, or may have. Where the backend server has crashed meanwhile, it was there.
+    /// Records that a start has begun or may have begun. If a crash was detected while the start
+    /// was under way, its task may have caused the crash and is added to the report.
     pub(super) fn start_may_have_begun(&mut self, now: time::Duration) {
         if self.crashes.connection_refused {
             self.record_crash(now);
         }
     }
 
-    /// When the backend server was last known to be up: it had listed what it has, or taken a start.
+    /// When the backend server was last known to be up: at its last listing, or when it last
+    /// accepted a start.
     fn last_known_up(&self, now: time::Duration) -> time::Duration {
         let listed = now.saturating_sub(self.lease.since_last_answer(now).unwrap_or_default());
         let held = self.held.values();
@@ -127,24 +137,24 @@
         if !self.backend.takes_work {
             return;
         }
-        let at_work = |state| {
+        let is_on_server = |state| {
             matches!(
                 state,
                 State::Running | State::StartUnconfirmed | State::StopConfirmed
             )
         };
-        let held = self.held.values().filter(|held| at_work(held.state));
+        let held = self.held.values().filter(|held| is_on_server(held.state));
         let held = held.map(|held| self.task_on_server(now, held));
         let all: Vec<TaskOnServer> = held.chain(self.crashes.lost.iter().cloned()).collect();
         let on_probation = |task: &TaskOnServer| task.suspect && task.just_started;
-        let found = all.iter().any(on_probation);
+        let has_culprit = all.iter().any(on_probation);
         let mut crash = Crash::default();
         for task in all {
-            if found && on_probation(&task) {
+            if has_culprit && on_probation(&task) {
                 crash.proven.push(task.name);
-            } else if !found && task.just_started {
+            } else if !has_culprit && task.just_started {
                 crash.likely.push(task.name);
-            } else if !found {
+            } else if !has_culprit {
                 crash.possible.push(task.name);
             }
         }
@@ -160,14 +170,16 @@
         self.report_crash(now, crash);
     }
 
-    /// Whether the crash of the known life was told already; what is found later only adds to it.
+    /// Whether a crash of the current incarnation has been reported; a later finding only extends
+    /// the report.
     fn is_crash_reported(&self) -> bool {
         let mut known = self.crashes.known.iter().map(|(_, crash)| crash);
         let of_this_life = known.find(|crash| crash.server == self.counts.incarnations);
         of_this_life.is_some_and(|crash| crash.suspects().next().is_some())
     }
 
-    /// Tells all entries whom the crash of the known life is blamed on.
+    /// Reports a crash of the current incarnation, with its suspects, to all entries. It replaces
+    /// an earlier report on the same incarnation.
     fn report_crash(&mut self, now: time::Duration, crash: Crash) {
         let crash = Crash {
             server: self.counts.incarnations,
@@ -181,7 +193,7 @@
         }
     }
 
-    /// Forgets crashes of long ago.
+    /// Drops crashes that are older than [`REMEMBERED_FOR`].
     pub(super) fn forget_crashes(&mut self, now: time::Duration) {
         let known = &mut self.crashes.known;
         while known
@@ -192,13 +204,14 @@
         }
     }
 
-    /// Whether a start has to wait because of a suspect: itself, or one that waits or is on probation.
+    /// Whether a start has to wait for isolation: because its own task is a suspect and other runs
+    /// have just begun, or because a suspect waits or is on probation.
     pub(super) fn must_wait_for_isolation(&self, now: time::Duration, start: &Start) -> bool {
         if self.isolation == Isolation::Together {
             return false;
         }
         let alone = self.isolation == Isolation::Alone;
-        let is_young = |held: &HeldRun| alone || now < held.since + PROBATION;
+        let has_just_started = |held: &HeldRun| alone || now < held.since + PROBATION;
         let others = || {
             self.held
                 .values()
@@ -206,23 +219,24 @@
         };
         let begun = || others().filter(|held| held.state != State::Waiting);
         if is_suspect(start.suspicion) {
-            return begun().any(is_young);
+            return begun().any(has_just_started);
         }
         let suspects = || {
             self.held
                 .values()
                 .filter(|held| is_suspect(held.start.suspicion))
         };
-        suspects().any(|held| held.state == State::Waiting || is_young(held))
+        suspects().any(|held| held.state == State::Waiting || has_just_started(held))
     }
 
-    /// Whether the room is kept for a suspect.
+    /// Whether isolation of a suspect blocks the start of any other task now.
     pub(super) fn is_reserved_for_suspect(&self, now: time::Duration) -> bool {
         let other = Start::default();
         self.must_wait_for_isolation(now, &other)
     }
 
-    /// Suspects that wait while another one waits or is on probation. They are turned away, to go elsewhere.
+    /// Returns the waiting suspects that can't start soon, since another suspect waits before them
+    /// or is on probation. They are returned to their entries, which place them elsewhere.
     pub(super) fn surplus_suspects(&self, now: time::Duration) -> Vec<Run> {
         if self.isolation == Isolation::Together {
             return Vec::new();
@@ -240,7 +254,7 @@
             .iter()
             .filter_map(|(.., run)| self.held.get(run));
         let waiting = waiting.filter(|held| is_suspect(held.start.suspicion));
-        let crowded = waiting.skip(usize::from(!taken));
-        crowded.map(|held| held.start.run.clone()).collect()
+        let surplus = waiting.skip(usize::from(!taken));
+        surplus.map(|held| held.start.run.clone()).collect()
     }
 }
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -1,4 +1,5 @@
-//! The agent's side towards the entries: what they want, and what they are told.
+//! The agent's side of the links to entries: handles their requests and composes the messages to
+//! them.
 
 use std::time;
 
@@ -10,7 +11,8 @@
 use crate::decide::besteffort::slots::{millis, Entry, HeldRun, Slots, State};
 
 impl Slots {
-    /// An entry has connected; returns what it should know first.
+    /// Handles a new link of an entry. Returns the hello that the agent answers with: the entry's
+    /// runs that are held here and its most recent ends. The caller fills in the agent's identity.
     pub fn entry_connected(&mut self, now: time::Duration, name: &EntryIncarnation) -> Hello {
         let entry = self.entries.entry(name.clone()).or_default();
         entry.unsent_ends.clear();
@@ -30,7 +32,9 @@
         }
     }
 
-    /// An entry has repeated our clock. Whether the word is fresh enough to act on.
+    /// Handles a message of an entry that repeats the agent's clock as `seen_ms`, which proves when
+    /// the entry last heard the agent. Returns whether the message is recent enough for its starts
+    /// to be carried out.
     pub fn message_received(
         &mut self,
         now: time::Duration,
@@ -45,7 +49,8 @@
         now < until
     }
 
-    /// An entry wants a run.
+    /// Handles an entry's request to start a run. A request that the agent already holds is
+    /// ignored; one that never fits or isn't `fresh` is returned at once.
     pub fn start_requested(
         &mut self,
         now: time::Duration,
@@ -81,7 +86,7 @@
         self.dispatch_waiting(now);
     }
 
-    /// An entry doesn't want a run any more.
+    /// Handles an entry's request to end its run.
     pub fn withdraw(&mut self, now: time::Duration, name: &EntryIncarnation, run: &Run) {
         if self.held.get(run).is_some_and(|held| held.entry == *name) {
             self.require_end(now, run);
@@ -89,48 +94,49 @@
         }
     }
 
-    /// What an entry should hear now: ends, and the progress of its runs.
+    /// Composes the next message to an entry: free room, ends, crashes and the progress of its
+    /// runs. What is put into it counts as sent.
     pub fn next_message(&mut self, name: &EntryIncarnation, now: time::Duration) -> AgentMessage {
         let now_ms = now.as_millis() as u64;
-        let mut line = AgentMessage {
+        let mut message = AgentMessage {
             now_ms,
             free: self.free().minus(&self.lent_room(Some(name))),
             sharers: self.sharers(now, name),
             ..AgentMessage::default()
         };
         if let Some(entry) = self.entries.get_mut(name) {
-            line.ended = std::mem::take(&mut entry.unsent_ends);
-            line.crashes = std::mem::take(&mut entry.unsent_crashes);
+            message.ended = std::mem::take(&mut entry.unsent_ends);
+            message.crashes = std::mem::take(&mut entry.unsent_crashes);
             if let Some(loan) = entry.loan.as_mut().filter(|loan| loan.sent_ms.is_none()) {
                 loan.sent_ms = Some(now_ms);
-                line.lent = loan.room;
+                message.lent = loan.room;
             }
         }
         let runs = self.held.iter().filter(|(_, held)| held.entry == *name);
         let running = runs.filter(|(_, held)| held.state == State::Running);
-        line.progress = running
+        message.progress = running
             .map(|(run, held)| Progress {
                 run: run.clone(),
                 percent: held.percent,
                 age_ms: held.percent_at.saturating_sub(held.since).as_millis() as u64,
             })
             .collect();
-        line
+        message
     }
 
-    /// Entries that compete for the room: this one, and the others with work waiting. Those with nothing
-    /// waiting leave their part to the others.
+    /// Counts the entries that compete for the room: this one and the others that have work
+    /// waiting. An entry without waiting work leaves its share to the others.
     fn sharers(&self, now: time::Duration, name: &EntryIncarnation) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != name);
         let waiting = others.filter(|(_, e)| now < e.alive_until && e.waiting_work.is_some());
         1 + waiting.count() as u32
     }
 
-    /// Whether an entry has something to hear before the next heartbeat.
+    /// Whether there is something for an entry that mustn't wait for the next heartbeat.
     pub fn has_unsent(&self, name: &EntryIncarnation) -> bool {
         let entry = self.entries.get(name);
-        let untold = |e: &Entry| e.loan.is_some_and(|loan| loan.sent_ms.is_none());
+        let unsent = |e: &Entry| e.loan.is_some_and(|loan| loan.sent_ms.is_none());
         entry
-            .is_some_and(|e| !e.unsent_ends.is_empty() || !e.unsent_crashes.is_empty() || untold(e))
+            .is_some_and(|e| !e.unsent_ends.is_empty() || !e.unsent_crashes.is_empty() || unsent(e))
     }
 }
--- a/src/decide/besteffort/slots/held.rs
+++ b/src/decide/besteffort/slots/held.rs
@@ -1,21 +1,22 @@
-//! One run at an agent, from its arrival to its end.
+//! The state of one run at an agent, from its arrival to its end.
 
 use std::time;
 
 use crate::decide::besteffort::message::{EntryIncarnation, Run, Start};
 
-/// How far a run is.
+/// How far a run has got.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum State {
-    /// No room yet.
+    /// It waits for room at the agent.
     Waiting,
-    /// The order is on its way.
+    /// The start was sent to the backend server and isn't answered yet.
     Starting,
-    /// It runs.
+    /// The backend server has accepted the start.
     Running,
-    /// The order had no answer; a stop will settle it.
+    /// The start had no answer, so that nobody knows whether the run began; a stop makes sure of
+    /// its end.
     StartUnconfirmed,
-    /// A stop was answered; the next listing tells how it ended.
+    /// The backend server has answered a stop; the next listing tells how the run ended.
     StopConfirmed,
 }
 
@@ -25,19 +26,19 @@
     pub(super) start: Start,
     pub(super) entry: EntryIncarnation,
     pub(super) state: State,
-    /// Since when it waits or runs.
+    /// When it arrived; once its start was sent, the time of the start or of its acceptance.
     pub(super) since: time::Duration,
-    /// Since when it has to end: withdrawn, past its deadline, or its entry silent.
+    /// When it first had to end: it was withdrawn, its deadline passed or its entry went silent.
     pub(super) must_end_since: Option<time::Duration>,
-    /// When the last stop was sent, or answered while closing.
+    /// When the last stop was sent or, in [`State::StopConfirmed`], answered.
     pub(super) stop_at: time::Duration,
     pub(super) percent: u8,
-    /// When the listing with that was asked for.
+    /// When the listing with `percent` came in.
     pub(super) percent_at: time::Duration,
 }
 
 impl HeldRun {
-    /// The order in which starts wait for room.
+    /// The order in which runs get room: by priority, then urgency.
     pub(super) fn queue_key(&self) -> (u32, u64, Run) {
         let start = &self.start;
         (start.priority, start.urgency_ms, start.run.clone())
--- a/src/decide/besteffort/slots/incarnations.rs
+++ b/src/decide/besteffort/slots/incarnations.rs
@@ -1,15 +1,17 @@
-//! Which life of the backend server is there.
+//! Decides which incarnation of the backend server is the current one.
 //!
-//! What a backend server says of itself may arrive seconds late, after it has crashed and its next
-//! life has announced itself, and also after the agent, which knew better, was started anew. Were a
-//! late word of a dead life believed, the runs of the living one would be given up and started
-//! elsewhere while they go on, and no later word would bring the living one back. So a life that
-//! isn't the known one is only taken up once it has answered a call that names it.
+//! A heartbeat may arrive seconds late: after its sender has crashed and the next incarnation has
+//! announced itself, and even after the agent, which knew that, has been restarted. If the agent
+//! believed a late heartbeat of a dead incarnation, it would give up the runs of the live one, and
+//! their tasks would start elsewhere while those runs continue; and no later heartbeat would make
+//! the live incarnation the current one again. So an incarnation that isn't the current one is
+//! accepted only after it has answered a call that names it.
 //!
-//! The next life may have the id of the one before, with its heartbeats numbered anew. Were they compared
-//! with those of the life before, its leave would be acknowledged and passed over as late, and work would
-//! still be sent to it. So numbers are compared within one life only, and a life is its id and its start
-//! ([`ServerIncarnation`]).
+//! The next incarnation may use the id of the one before and number its heartbeats from the
+//! beginning. If these numbers were compared with those of the incarnation before, the announcement
+//! that it leaves would be acknowledged but ignored as late, and it would still get work. So
+//! numbers are compared within one incarnation only, and an incarnation is identified by its id and
+//! its start time ([`ServerIncarnation`]).
 
 use std::time;
 
@@ -19,14 +21,15 @@
     Listing, Recipient, Slots, StaleMessage, State, ANOTHER_INCARNATION,
 };
 
-/// Most lives that are checked at a time. A word of a dead life or of another writer must not push out
-/// the living one, which would be asked again only a heartbeat (1.5 s) later.
+/// Maximum number of incarnations that are checked at a time. With room for one only, a heartbeat
+/// of a dead incarnation or of another writer would displace the live one, which would be checked
+/// again only at its next heartbeat, 1.5 s later.
 const MAX_CANDIDATES: usize = 8;
 
-/// A life that has announced itself and was asked whether it is there.
+/// An incarnation that has announced itself and is being checked for being up.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
-    /// The check that is under way; none after one that had no answer.
+    /// The number of the check that is under way; none after a check without an answer.
     check: Option<u64>,
     newest_heartbeat: Heartbeat,
 }
@@ -37,29 +40,30 @@
     }
 }
 
-/// A listing to ask of one life, which shows whether that life is there. It renews no lease.
+/// A request for a listing by one incarnation, whose answer proves that the incarnation is up. It
+/// doesn't renew the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Check {
     /// Tells this check from earlier ones, whose answers may be late.
     pub number: u64,
-    /// Whom it asks. The fence is that of the known life, which may be there still.
+    /// The incarnation to ask. The fence is that of the current incarnation, which may still be up.
     pub to: Recipient,
 }
 
-/// What came of a check.
+/// The result of a check.
 #[derive(Clone, Debug)]
 pub enum CheckResult {
-    /// The life that was asked for has answered.
+    /// The incarnation that was asked has answered.
     Answered(Listing),
-    /// Another life has answered: the one that was asked for is dead.
+    /// Another incarnation has answered, so the one that was asked is dead.
     AnotherIncarnation,
-    /// No answer; the next word of the life is checked again.
+    /// There was no answer; the next heartbeat of the incarnation starts another check.
     NoAnswer,
 }
 
 impl Slots {
-    /// Takes in what the backend server says of itself. A life that isn't known has to be checked
-    /// first; a life that is known to be dead is passed over.
+    /// Handles a heartbeat. Returns the check to make if it comes from an incarnation that isn't
+    /// the current one; heartbeats of incarnations that are known to be dead are ignored.
     pub fn heartbeat_received(
         &mut self,
         now: time::Duration,
@@ -112,10 +116,10 @@
         Some(Check { number: check, to })
     }
 
-    /// A heartbeat of the known life.
+    /// Applies a heartbeat of the current incarnation.
     fn apply_heartbeat(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         if heartbeat.backend.service != self.backend.service {
-            // A life stays with its service; this is another writer's word.
+            // An incarnation never changes its service, so this comes from another writer.
             log::warn!(instance = heartbeat.backend.incarnation.id.as_str(), service = heartbeat.backend.service.as_str();
                 "known life is said to be of another service");
         } else if heartbeat.number < self.last_heartbeat {
@@ -127,14 +131,14 @@
     }
 
     fn count_late_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        let life = &heartbeat.backend.incarnation;
-        log::info!(instance = life.id.as_str(), born_ms = life.born_ms, seq = heartbeat.number,
+        let incarnation = &heartbeat.backend.incarnation;
+        log::info!(instance = incarnation.id.as_str(), born_ms = incarnation.born_ms, seq = heartbeat.number,
             takes_work = heartbeat.backend.takes_work; "heartbeat is older than one heard");
         self.count_stale(StaleMessage::Heartbeat);
     }
 
-    /// Takes in what came of a check that was sent at `sent`. Returns whether the life is known from
-    /// now on.
+    /// Handles the result of a check that was sent at `sent`. Returns whether the incarnation is
+    /// now the current one.
     pub fn check_answered(
         &mut self,
         now: time::Duration,
@@ -146,13 +150,13 @@
         let Some(at) = self.candidates.iter().position(current) else {
             return false;
         };
-        let life = &check.to.incarnation;
+        let incarnation = &check.to.incarnation;
         match checked {
-            CheckResult::Answered(listing) if may_belong_to(&listing, life) => {
+            CheckResult::Answered(listing) if may_belong_to(&listing, incarnation) => {
                 let Some(candidate) = self.candidates.remove(at) else {
                     return false;
                 };
-                let keeps_id = life.id == self.backend.incarnation.id;
+                let keeps_id = incarnation.id == self.backend.incarnation.id;
                 self.adopt_incarnation(now, candidate.newest_heartbeat);
                 if !keeps_id {
                     self.listing_received(now, sent, listing);
@@ -160,14 +164,14 @@
                 true
             }
             CheckResult::Answered(_) | CheckResult::AnotherIncarnation => {
-                log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
+                log::info!(instance = incarnation.id.as_str(), born_ms = incarnation.born_ms,
                     known = self.backend.incarnation.id.as_str(); "late word of a dead life");
                 self.candidates.remove(at);
-                self.dead_incarnations.insert(life.clone());
+                self.dead_incarnations.insert(incarnation.clone());
                 false
             }
             CheckResult::NoAnswer => {
-                log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
+                log::info!(instance = incarnation.id.as_str(), born_ms = incarnation.born_ms,
                     known = self.backend.incarnation.id.as_str(); "life of the backend server can't be checked");
                 self.candidates[at].check = None;
                 false
@@ -175,8 +179,9 @@
         }
     }
 
-    /// Another life has answered under the id of the known one, which is dead then. Where the new one hasn't
-    /// announced itself yet, nobody knows its room, and it gets nothing new until it does.
+    /// Handles the answer of another incarnation under the id of the current one, which is
+    /// therefore dead. If the new incarnation hasn't announced itself yet, its room isn't known,
+    /// and it gets no work until it does.
     pub(super) fn restarted_under_same_id(&mut self, now: time::Duration, born_ms: Option<u64>) {
         let incarnation = ServerIncarnation {
             born_ms,
@@ -186,8 +191,8 @@
             .candidates
             .iter()
             .position(|c| *c.incarnation() == incarnation);
-        let said = at.and_then(|at| self.candidates.remove(at));
-        let heartbeat = said.map_or_else(
+        let candidate = at.and_then(|at| self.candidates.remove(at));
+        let heartbeat = candidate.map_or_else(
             || Heartbeat {
                 backend: Backend {
                     incarnation,
@@ -201,28 +206,30 @@
         self.adopt_incarnation(now, heartbeat);
     }
 
-    /// The first sure sign of another life: what the one before ran has ended with it.
+    /// Makes another incarnation the current one, as soon as an answer proves that it is up. What
+    /// ran on the one before has ended with it.
     fn adopt_incarnation(&mut self, now: time::Duration, heartbeat: Heartbeat) {
-        let life = &heartbeat.backend.incarnation;
+        let incarnation = &heartbeat.backend.incarnation;
         if !self.backend.incarnation.id.is_empty() {
             self.dead_incarnations
                 .insert(self.backend.incarnation.clone());
         }
-        log::info!(instance = life.id.as_str(), born_ms = life.born_ms,
+        log::info!(instance = incarnation.id.as_str(), born_ms = incarnation.born_ms,
             before = self.backend.incarnation.id.as_str(), held = self.held.len(); "backend server has a new life");
         self.incarnation_ended(now);
         self.counts.incarnations += 1;
-        // What is known of the clock and the lease is of the life before.
-        if life.id == self.backend.incarnation.id {
+        // The clock offset and the lease belong to the incarnation before.
+        if incarnation.id == self.backend.incarnation.id {
             self.lease = self.lease.next_incarnation();
             self.inherit_runs();
         } else {
             self.lease = Lease::open(self.bounds);
             self.end_lost_runs(now, ANOTHER_INCARNATION);
         }
-        // What was asked before may be answered by a life that has died since; what was said counts, and is
-        // asked for again with the next word. Forgotten, a leave that was acknowledged would be undone by a
-        // late heartbeat from before it.
+        // Checks that are under way may yet be answered by an incarnation that has died since, so
+        // they are void. The heartbeats of the candidates are kept, and the next one starts a new
+        // check: if they were dropped, an announced leave that was acknowledged would be undone by
+        // a late, older heartbeat.
         self.candidates
             .retain(|known| *known.incarnation() != heartbeat.backend.incarnation);
         for known in &mut self.candidates {
@@ -235,9 +242,10 @@
         self.update_backend(now, heartbeat.backend);
     }
 
-    /// Runs that were with a life of the same id are with nobody, or with the new one: an order that was
-    /// on its way reaches whichever life is there. Given up at once, its task would run elsewhere beside
-    /// it. The first listing under the new fence tells which it is.
+    /// Remembers the runs of the incarnation before under the same id. They have either ended with
+    /// it or run on the new incarnation, since an order that was under way reaches whichever
+    /// incarnation is up. If they were given up at once, their tasks would run twice. The first
+    /// listing under the new fence tells which case it is.
     fn inherit_runs(&mut self) {
         let task_on_server = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
         self.inherited = task_on_server.map(|(run, _)| run.clone()).collect();
@@ -261,7 +269,8 @@
         self.dispatch_waiting(now);
     }
 
-    /// Room has gone: what waits for it goes elsewhere, and none is kept for anybody.
+    /// Handles a loss of room: waiting starts that don't fit any more are returned to their
+    /// entries, and all loans end.
     fn return_unfitting_starts(&mut self, now: time::Duration) {
         for entry in self.entries.values_mut() {
             entry.loan = None;
@@ -273,37 +282,42 @@
                 .get(*run)
                 .is_some_and(|held| free.fits(&held.start.need))
         };
-        let crowded: Vec<Run> = waiting.filter(|run| !fits(run)).cloned().collect();
-        for run in crowded {
+        let unfitting: Vec<Run> = waiting.filter(|run| !fits(run)).cloned().collect();
+        for run in unfitting {
             self.end_run(now, &run, RunOutcome::NotRun);
         }
     }
 
-    /// The backend server says that it leaves now. What it has may run on for a moment, so that its
-    /// ends are still waited for. Where it doesn't say when its life began, this may be the late word of an
-    /// earlier life under the same id: the next heartbeat of the living one sets that right.
-    pub fn server_left(&mut self, now: time::Duration, life: &ServerIncarnation) {
+    /// Handles the announcement of an incarnation that it leaves now. Its runs may continue for a
+    /// moment, so the agent still waits for their ends. An announcement without a start time may
+    /// come late from an earlier incarnation under the same id; in that case the next heartbeat of
+    /// the current one corrects it.
+    pub fn server_left(&mut self, now: time::Duration, incarnation: &ServerIncarnation) {
         let is_meant = |known: &ServerIncarnation| {
-            known.id == life.id && (life.born_ms.is_none() || known.born_ms == life.born_ms)
+            known.id == incarnation.id
+                && (incarnation.born_ms.is_none() || known.born_ms == incarnation.born_ms)
         };
         let known = is_meant(&self.backend.incarnation);
-        log::info!(instance = life.id.as_str(), born_ms = life.born_ms, known = known; "backend server has left");
+        log::info!(instance = incarnation.id.as_str(), born_ms = incarnation.born_ms, known = known; "backend server has left");
         if known {
             self.backend.takes_work = false;
             self.dispatch_waiting(now);
         }
-        // Its earlier word, which is still being checked, would bring it back as one that takes work.
+        // A candidate's earlier heartbeat, whose check is still under way, would bring it back as
+        // one that takes work.
         self.candidates
             .retain(|known| !is_meant(known.incarnation()));
     }
 
-    /// Another life of the backend server has answered; nothing of the one that is known runs.
+    /// Handles an answer by which the current incarnation is dead, so that none of its runs
+    /// continues.
     pub fn another_incarnation_answered(&mut self, now: time::Duration) {
         self.end_lost_runs(now, ANOTHER_INCARNATION);
     }
 }
 
-/// Whether a listing may be of a life; before any is known it is of whichever answers.
-pub(super) fn may_belong_to(listing: &Listing, life: &ServerIncarnation) -> bool {
-    life.id.is_empty() || listing.born_ms.is_none() || listing.born_ms == life.born_ms
+/// Whether a listing may come from an incarnation. It may if either doesn't tell: no incarnation is
+/// known yet, or the listing has no start time.
+pub(super) fn may_belong_to(listing: &Listing, incarnation: &ServerIncarnation) -> bool {
+    incarnation.id.is_empty() || listing.born_ms.is_none() || listing.born_ms == incarnation.born_ms
 }
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -1,9 +1,10 @@
-//! What an agent holds for entries: runs, the room they take, and when each must end.
+//! Decides what an agent runs for its entries: which starts it sends to the backend server, how
+//! much room they take and when each run must end.
 //!
-//! Nothing runs here for an entry that isn't heard, past its deadline, or after its entry withdrew
-//! it. A run counts against the room until the backend server has listed its end, so that the agent
-//! never asks for more than there is. Orders that had no answer count as running until it is
-//! certain that they don't.
+//! The agent ends a run when it hasn't heard the run's entry for [`Bounds::silence`], when the
+//! run's deadline has passed, and when its entry has withdrawn it. A run takes room until a listing
+//! of the backend server contains its end, so that the agent never asks for more than the backend
+//! server has. A run whose start had no answer counts as running until it is certain that it isn't.
 
 mod counts;
 mod crashes;
@@ -29,23 +30,23 @@
 pub use incarnations::{Check, CheckResult};
 pub use order::{Listing, Order, Recipient, StartAnswer};
 
-/// Why runs are lost, in logs and metrics.
+/// Causes of lost runs, as logs and metrics name them.
 const LEASE_RAN_OUT: &str = "lease ran out";
 const ANOTHER_INCARNATION: &str = "another life";
 
-/// Ends that are repeated when an entry connects again.
+/// Number of ends kept per entry, to be repeated when the entry connects again.
 const RETAINED_ENDS: usize = 128;
 
-/// Waiting starts that are looked at for one that fits; keeps a full agent from long scans.
+/// Number of waiting starts that are tried for room, which bounds the scan at a full agent.
 const MAX_STARTS_CONSIDERED: usize = 8;
 
 /// How long a stop may go unanswered before it is sent again.
 const STOP_RESEND_AFTER: time::Duration = time::Duration::from_millis(50);
 
-/// Part of the lease for which the backend server may be silent before nothing new is sent to it.
+/// How long the backend server may be silent before nothing new is sent to it, in leases.
 const UNREACHABLE_AFTER_LEASES: f64 = 0.7;
 
-/// How long an entry that is gone is remembered.
+/// How long an entry that isn't heard is remembered.
 const ENTRY_RETENTION: time::Duration = time::Duration::from_secs(10);
 
 #[derive(Debug, Default)]
@@ -54,52 +55,60 @@
     heard_at: time::Duration,
     unsent_ends: Vec<RunEnd>,
     recent_ends: VecDeque<RunEnd>,
-    /// Crashes that it hasn't been told of.
+    /// Crashes that the entry hasn't been told of.
     unsent_crashes: Vec<Crash>,
-    /// What waits there.
+    /// The work that waits at the entry for room.
     waiting_work: Option<WaitingWork>,
-    /// Room that is kept for it.
+    /// Room that is reserved for the entry's next starts.
     loan: Option<lend::Loan>,
 }
 
-/// The state of an agent.
+/// The agent's decisions on best-effort work: the runs it holds, the backend server's state and
+/// lease, and the entries.
+///
+/// Events and `now` (time since boot, including suspensions) go in; [`Order`]s to the backend
+/// server come out of [`Slots::take_orders`], and messages to entries out of
+/// [`Slots::next_message`].
 #[derive(Debug)]
 pub struct Slots {
     bounds: Bounds,
     lease: Lease,
-    /// The last end that was taken in from this life of the backend server. It is acknowledged only
-    /// then: an end that is acknowledged isn't listed again.
+    /// The number of the last end that was handled, in the count of the current incarnation. An end
+    /// is acknowledged only after that, because the backend server doesn't list an acknowledged end
+    /// again.
     acknowledged: u64,
-    /// The backend server's clock in the newest listing of this life.
+    /// The backend server's clock in the newest listing of the current incarnation, in
+    /// milliseconds.
     newest_listing_ms: u64,
     backend: Backend,
-    /// Lives that may be there, while they are checked.
+    /// Incarnations that have announced themselves and are being checked.
     candidates: VecDeque<incarnations::Candidate>,
     last_check: u64,
-    /// Lives that are dead.
+    /// Incarnations that are known to have ended.
     dead_incarnations: HashSet<ServerIncarnation>,
-    /// The number of the newest heartbeat of the known life.
+    /// The number of the newest heartbeat of the current incarnation.
     last_heartbeat: u64,
-    /// Runs that were with the life before under the same id, until the known one has listed what it has.
+    /// Runs that were sent to the previous incarnation under the same id. Whether they run on the
+    /// current one isn't known until its first listing.
     inherited: Vec<Run>,
     held: BTreeMap<Run, HeldRun>,
     waiting: BTreeSet<(u32, u64, Run)>,
     used: Room,
     entries: BTreeMap<EntryIncarnation, Entry>,
     orders: Vec<Order>,
-    /// When runs that nobody here asked for were told to stop.
+    /// When each run that the agent doesn't hold, but the backend server lists, was told to stop.
     unknown_run_stops: BTreeMap<Run, time::Duration>,
     stopping: bool,
     crashes: crashes::Crashes,
     isolation: Isolation,
-    /// Whether a suspect keeps others from beginning.
+    /// Whether isolation of a suspect keeps other starts waiting.
     reserved_for_suspect: bool,
-    /// The newest word on whether the agent's failure domain is evacuated.
+    /// The newest state of the agent's failure domain: evacuated or not.
     evacuation: evacuation::DomainState,
-    /// Whether the backend server was heard lately, and nothing lengthens its lease beyond what the agent
-    /// asks for.
+    /// Whether the backend server may get work: it has answered recently, and no lease from before
+    /// outlasts the one that the agent would ask for.
     reachable: bool,
-    /// What the agent did since the start.
+    /// What the agent has done since its start.
     pub counts: Counts,
 }
 
@@ -108,7 +117,7 @@
 }
 
 impl Slots {
-    /// Opens the state of an agent that knows no backend server and no entry.
+    /// Creates the state of an agent that knows no backend server and no entry.
     pub fn open(bounds: Bounds) -> Slots {
         Slots {
             bounds,
@@ -137,12 +146,12 @@
         }
     }
 
-    /// The life of the backend server that is known.
+    /// Returns the current incarnation of the backend server; its id is empty before one is known.
     pub fn server_incarnation(&self) -> &ServerIncarnation {
         &self.backend.incarnation
     }
 
-    /// Whom orders are meant for that are decided now.
+    /// Returns the addressee of orders that are decided now.
     pub fn recipient(&self) -> Recipient {
         Recipient {
             incarnation: self.backend.incarnation.clone(),
@@ -150,7 +159,7 @@
         }
     }
 
-    /// The backend server as entries should see it.
+    /// Returns the backend server as entries are told of it: it takes work only if the agent does.
     pub fn advertised_backend(&self) -> Backend {
         Backend {
             takes_work: self.takes_work(),
@@ -162,12 +171,13 @@
         self.backend.takes_work && self.reachable && !self.stopping && !self.evacuation.evacuated
     }
 
-    /// The backend server as it last announced itself.
+    /// Returns the backend server as it last announced itself.
     pub fn announced_backend(&self) -> &Backend {
         &self.backend
     }
 
-    /// Room that nobody uses or waits for.
+    /// Returns the room that is neither used nor needed by waiting starts; none while it is
+    /// reserved for a suspect.
     pub fn free(&self) -> Room {
         if self.reserved_for_suspect {
             return Room::default();
@@ -181,45 +191,45 @@
         })
     }
 
-    /// How long ago the backend server answered; none if it never did.
+    /// Returns the time since the backend server last answered; none if it never has.
     pub fn last_answer_age(&self, now: time::Duration) -> Option<time::Duration> {
         self.lease.since_last_answer(now)
     }
 
-    /// Whether nothing is held.
+    /// Whether the agent holds no run at all.
     pub fn is_idle(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Whether anything is with the backend server.
+    /// Whether any run was sent to the backend server and hasn't ended.
     pub fn is_working(&self) -> bool {
         self.held.len() > self.waiting.len()
     }
 
-    /// Takes no more work; what runs goes on.
+    /// Accepts no more work from now on. Waiting starts are returned; sent runs continue.
     pub fn stop_accepting(&mut self, now: time::Duration) {
         self.stopping = true;
         self.dispatch_waiting(now);
     }
 
-    /// Takes in an entry's word on whether the failure domain is evacuated: nothing new starts meanwhile,
-    /// what runs goes on, and starts that wait go back to their entries at once. Returns whether that
-    /// has changed.
+    /// Applies what an entry tells of the evacuation of the failure domain. While the domain is
+    /// evacuated nothing new starts, waiting starts are returned to their entries at once, and sent
+    /// runs continue. Returns whether the state has changed.
     pub fn update_evacuation(
         &mut self,
         now: time::Duration,
-        word: evacuation::DomainState,
+        state: evacuation::DomainState,
     ) -> bool {
-        let changed = self.evacuation.update(word);
+        let changed = self.evacuation.update(state);
         if changed {
-            log::info!(evacuated = word.evacuated, version = word.version;
+            log::info!(evacuated = state.evacuated, version = state.version;
                 "failure domain was evacuated or taken back");
             self.dispatch_waiting(now);
         }
         changed
     }
 
-    /// Ends whatever is left.
+    /// Ends all runs that are left.
     pub fn end_all_runs(&mut self, now: time::Duration) {
         let all: Vec<Run> = self.held.keys().cloned().collect();
         for run in all {
@@ -227,7 +237,7 @@
         }
     }
 
-    /// Looks at every time bound. To be called more often than any of them matters.
+    /// Checks all time bounds. The caller calls it at intervals shorter than the shortest bound.
     pub fn tick(&mut self, now: time::Duration) {
         if self
             .lease
@@ -239,7 +249,7 @@
             self.end_lost_runs(now, LEASE_RAN_OUT);
         }
         let mut must_end_since = Vec::new();
-        let mut bounced = Vec::new();
+        let mut returned = Vec::new();
         for (run, held) in &self.held {
             let silent = self
                 .entries
@@ -248,7 +258,7 @@
             let past = now >= millis(held.start.deadline_ms);
             let waited = now.saturating_sub(held.since) >= millis(held.start.patience_ms);
             if held.state == State::Waiting && waited {
-                bounced.push(run.clone());
+                returned.push(run.clone());
             } else if (silent || past) && held.must_end_since.is_none() {
                 log::info!(job = run.job.as_str(), task = run.task, run = run.number,
                     entry = held.entry.entry.as_str(), silent = silent, past_deadline = past;
@@ -256,7 +266,7 @@
                 must_end_since.push(run.clone());
             }
         }
-        for run in bounced {
+        for run in returned {
             self.end_run(now, &run, RunOutcome::NotRun);
         }
         for run in must_end_since {
@@ -269,7 +279,7 @@
         self.dispatch_waiting(now);
     }
 
-    /// Orders for the backend server that have come up.
+    /// Returns and clears the orders for the backend server that were decided since the last call.
     pub fn take_orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.orders)
     }
@@ -296,8 +306,8 @@
             return;
         }
         held.must_end_since.get_or_insert(now);
-        // A start on its way is stopped once it is answered: a stop that overtook it would be
-        // answered before the run is there.
+        // A start that is under way is stopped after its answer: a stop that overtook it would be
+        // answered before the run exists.
         if held.state != State::Starting {
             self.send_stop(now, run);
         }
@@ -342,7 +352,7 @@
         }
     }
 
-    /// Starts what fits, and turns away what can't start here.
+    /// Starts the waiting runs that fit, and returns those that can't start here.
     fn dispatch_waiting(&mut self, now: time::Duration) {
         if !self.takes_work() {
             let all: Vec<Run> = self.waiting.iter().map(|(.., run)| run.clone()).collect();
@@ -351,9 +361,9 @@
             }
             return;
         }
-        let ahead = self.waiting.iter().take(MAX_STARTS_CONSIDERED);
-        let ahead: Vec<Run> = ahead.map(|(.., run)| run.clone()).collect();
-        for run in ahead {
+        let considered = self.waiting.iter().take(MAX_STARTS_CONSIDERED);
+        let considered: Vec<Run> = considered.map(|(.., run)| run.clone()).collect();
+        for run in considered {
             self.start_if_fits(now, &run);
         }
         for run in self.surplus_suspects(now) {
@@ -363,7 +373,8 @@
         self.lend_free_room(now);
     }
 
-    /// Whether an earlier run of the same task hasn't ended here; a later one would run beside it.
+    /// Whether an earlier run of the same task was sent and hasn't ended; a later run would run
+    /// beside it.
     fn has_earlier_run(&self, run: &Run) -> bool {
         let first = Run {
             number: 0,
@@ -381,9 +392,9 @@
         if !self.held.get(run).is_some_and(fits) || self.has_earlier_run(run) {
             return;
         }
-        // The lease covers the run from the order on. Were it renewed only as the order leaves, the
-        // next look at the time bounds could find the run without one and give it up, while the
-        // order is on its way: its task would run here and elsewhere.
+        // The lease must cover the run from the moment of the order. If it were renewed only when
+        // the order is sent, the next check of the time bounds could find a run without a lease and
+        // give it up while the order is under way: its task would run here and elsewhere.
         let Some(lease_until_ms) = self.renew_lease(now) else {
             return;
         };
--- a/src/decide/besteffort/slots/order.rs
+++ b/src/decide/besteffort/slots/order.rs
@@ -1,62 +1,63 @@
-//! What an agent asks of its backend server, and what comes of it.
+//! Orders of an agent to its backend server, and the answers to them.
 
 use compact_str::CompactString;
 
 use crate::decide::besteffort::message::{Run, RunOutcome, ServerIncarnation};
 
-/// Whom an order or a question is meant for.
+/// The incarnation that an order or a listing request is meant for.
 ///
-/// An order that leaves late must not reach another life of the backend server: its run was given up with
-/// the one that it was meant for, and its task may already run elsewhere. Where the next life has another
-/// id, it refuses what names the one before. Where it has the same, nothing in the order's own words tells
-/// them apart but the fence: the first question to the new life brings a larger one, and what was decided
-/// for the one before is refused from then on.
+/// An order that is sent late must not be carried out by another incarnation: its run was given up
+/// together with the incarnation it was meant for, and its task may already run elsewhere. An
+/// incarnation with another id refuses an order that names the one before. For one with the same
+/// id, only the fence makes the difference: the first request to the new incarnation carries a
+/// larger fence, and from then on the backend server refuses what was decided for the one before.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recipient {
-    /// The life that is meant; any where its id is empty.
+    /// The incarnation that is meant; any if its id is empty.
     pub incarnation: ServerIncarnation,
-    /// Lives that the agent had taken up when this was decided.
+    /// The number of incarnations that the agent had accepted when it decided the order.
     pub fence: u64,
 }
 
-/// What the agent asks of one life of its backend server.
+/// An order to one incarnation of the backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Order {
     /// Begin a run.
     Start {
-        /// Whom it is meant for.
+        /// The incarnation that shall begin it.
         to: Recipient,
-        /// The run.
+        /// The run to begin.
         run: Run,
-        /// What it works on.
+        /// The input of its task.
         input: CompactString,
-        /// The end of its lease, on the backend server's clock in milliseconds.
+        /// The end of the lease on the backend server, in milliseconds of the backend server's
+        /// clock.
         lease_until_ms: u64,
     },
     /// End a run, or make sure that it never begins.
     Stop {
-        /// Whom it is meant for.
+        /// The incarnation that shall end it.
         to: Recipient,
-        /// The run.
+        /// The run to end.
         run: Run,
     },
 }
 
-/// What came of a start.
+/// The outcome of a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartAnswer {
-    /// It runs.
+    /// The run has begun.
     Accepted,
-    /// It doesn't run and never will.
+    /// The run hasn't begun and never will.
     Refused,
-    /// The backend server turned it away since it is unwell; nothing ran.
+    /// The backend server is unhealthy and turned the start away; the run hasn't begun.
     Unhealthy,
-    /// Nobody can tell; it may even begin later.
+    /// There was no answer: the run may have begun, or may begin later.
     Unknown,
 }
 
 impl StartAnswer {
-    /// Its name in metrics.
+    /// The value of the label `answer` in metrics.
     pub fn name(self) -> &'static str {
         match self {
             StartAnswer::Accepted => "accepted",
@@ -67,17 +68,17 @@
     }
 }
 
-/// What a backend server says that it has.
+/// The runs that a backend server has, as it lists them.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// When the life that answers began; none where it doesn't say.
+    /// When the incarnation that answers began, in milliseconds since 1970; none if it doesn't say.
     pub born_ms: Option<u64>,
-    /// Its clock, in milliseconds.
+    /// The backend server's clock, in milliseconds.
     pub clock_ms: u64,
-    /// Runs at work, with hundredths done.
+    /// Running runs, and how much of each is done, in percent.
     pub running: Vec<(Run, u8)>,
-    /// Ends that were not acknowledged before.
+    /// Ends that the agent hasn't acknowledged yet.
     pub ended: Vec<(Run, RunOutcome)>,
-    /// The number of the last of them; 0 where there is none.
+    /// The number of the last listed end; 0 if there is none.
     pub last_end: u64,
 }
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -1,4 +1,5 @@
-//! The agent's side towards its backend server: the lease, answers and listings.
+//! The agent's side of the connection to its backend server: the lease, and the answers to starts,
+//! stops and listings.
 
 use std::collections::HashSet;
 use std::time;
@@ -10,12 +11,13 @@
     millis, HeldRun, Listing, Slots, StaleMessage, StartAnswer, State, STOP_RESEND_AFTER,
 };
 
-/// Part of the lease after which a renewal that wasn't answered is sent once more, on its own; the
-/// listing that should have brought it is late.
+/// How long a renewal of the lease may go unanswered, in leases, before it is repeated by a listing
+/// of its own, because the listing that carried it is late.
 const RENEW_AGAIN_AFTER_LEASES: f64 = 0.4;
 
 impl Slots {
-    /// Everything that was with the backend server has ended: its lease ran out or it is another.
+    /// Ends all runs that were sent to the backend server, because the lease ran out or another
+    /// incarnation has answered.
     pub(super) fn end_lost_runs(&mut self, now: time::Duration, why: &'static str) {
         let gone = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
         let gone: Vec<Run> = gone.map(|(run, _)| run.clone()).collect();
@@ -29,12 +31,14 @@
         }
     }
 
-    /// The end of the lease to ask for with a listing, on the backend server's clock.
-    /// None while a run that has to end goes on, because its stop isn't answered or nobody was awake
-    /// to send one: the lease is one for all, and running it out is the one way left to end that run
-    /// before its task may start elsewhere. None as well before a life is known: each has a clock of
-    /// its own, and a lease reckoned on that of a life which has crashed may last for minutes on that
-    /// of the next.
+    /// Renews the lease, and returns the end to ask for with the next listing or start, on the
+    /// backend server's clock in milliseconds.
+    ///
+    /// Returns none while a run continues that had to end, because its stop isn't answered or the
+    /// agent was paused and sent none. One lease covers all runs, and letting it run out is the
+    /// only way left to end that run before its task may start elsewhere. Returns none as well
+    /// before an incarnation is known: each one has its own clock, and a lease that was computed
+    /// with the clock of a crashed incarnation may last for minutes on the clock of the next.
     pub fn renew_lease(&mut self, now: time::Duration) -> Option<u64> {
         if self.backend.incarnation.id.is_empty() {
             return None;
@@ -47,23 +51,24 @@
         self.lease.renew(now)
     }
 
-    /// When a run has to end: withdrawn, past its deadline, or its entry not heard.
+    /// When a run has to end: when it is withdrawn, at its deadline, or when its entry goes silent.
     fn end_due_at(&self, held: &HeldRun) -> time::Duration {
         let entry = self.entries.get(&held.entry);
-        let heard = entry.map_or(time::Duration::ZERO, |entry| entry.alive_until);
+        let alive_until = entry.map_or(time::Duration::ZERO, |entry| entry.alive_until);
         let deadline = millis(held.start.deadline_ms);
         held.must_end_since
             .unwrap_or(deadline)
             .min(deadline)
-            .min(heard)
+            .min(alive_until)
     }
 
-    /// The last end that needn't be listed any more.
+    /// Returns the number of the last end that needn't be listed recently_stopped.
     pub fn acknowledged_end(&self) -> u64 {
         self.acknowledged
     }
 
-    /// Whether a renewal is overdue while something runs, so that one more is worth a call.
+    /// Whether something runs and the renewal of its lease is so late that a separate listing is
+    /// justified.
     pub fn is_renewal_overdue(&self, now: time::Duration) -> bool {
         self.is_working()
             && self
@@ -71,12 +76,13 @@
                 .is_renewal_overdue(now, self.bounds.lease.mul_f64(RENEW_AGAIN_AFTER_LEASES))
     }
 
-    /// Counts a word of the backend server that tells nothing any more.
-    pub fn count_stale(&mut self, word: StaleMessage) {
-        *self.counts.stale_messages.entry(word).or_default() += 1;
+    /// Counts a message of the backend server that is ignored as outdated.
+    pub fn count_stale(&mut self, message: StaleMessage) {
+        *self.counts.stale_messages.entry(message).or_default() += 1;
     }
 
-    /// Takes in whether the backend server answers; nothing is started while it doesn't.
+    /// Sets whether the backend server may get work, and logs a change. Nothing is started while it
+    /// may not.
     pub(super) fn set_reachable(&mut self, now: time::Duration, reachable: bool) {
         if self.reachable == reachable {
             return;
@@ -87,7 +93,7 @@
         self.dispatch_waiting(now);
     }
 
-    /// A start was answered, or its time ran out.
+    /// Handles the answer to a start, or the timeout of that answer.
     pub fn start_answered(&mut self, now: time::Duration, run: &Run, answer: StartAnswer) {
         *self.counts.starts.entry(answer.name()).or_default() += 1;
         let Some(held) = self.held.get_mut(run) else {
@@ -119,27 +125,29 @@
         self.dispatch_waiting(now);
     }
 
-    /// A stop was answered: the run ends within the stop's grace, or never begins. Returns whether
-    /// only a new listing can tell which, because nobody knows whether it began; an end that happens
-    /// is listed by itself.
+    /// Handles the answer to a stop: the run ends within the time that a stop may take, or never
+    /// begins. Returns whether a separate listing is needed. It is if the run may never have begun;
+    /// only an end that really happens is listed unasked.
     pub fn stop_answered(&mut self, now: time::Duration, run: &Run) -> bool {
         let Some(held) = self.held.get_mut(run) else {
             return false;
         };
-        let unsure = held.state == State::StartUnconfirmed;
+        let start_unconfirmed = held.state == State::StartUnconfirmed;
         held.state = State::StopConfirmed;
         held.stop_at = now;
-        unsure
+        start_unconfirmed
     }
 
-    /// Takes in a listing that was asked for at `sent`, of the life that is known.
+    /// Handles a listing of the current incarnation that was asked for at `sent`.
     ///
-    /// Two may be under way at a time, and the earlier one may come in last. What it has at work may
-    /// have ended since, and its clock would make the lease seem longer than what was granted.
+    /// Two listings may be under way at a time, and the earlier one may arrive last. It is ignored:
+    /// a run in it may have ended since, and its clock would make the lease seem longer than what
+    /// was granted.
     ///
-    /// A listing of another life under the same id is the first sign of it, and is asked for again: this
-    /// one was asked without the new life's fence, so that an order which was decided for the life before
-    /// may still be carried out after it.
+    /// A listing of another incarnation under the same id is the first sign of the new incarnation.
+    /// Its content isn't used, and another listing is requested, since this one was requested
+    /// without the new fence: an order for the incarnation before may still be carried out after
+    /// it.
     pub fn listing_received(
         &mut self,
         now: time::Duration,
@@ -174,11 +182,11 @@
             }
         }
         for run in unknown {
-            let again = self
+            let recently_stopped = self
                 .unknown_run_stops
                 .get(&run)
                 .is_some_and(|at| now < *at + STOP_RESEND_AFTER);
-            if again {
+            if recently_stopped {
                 continue;
             }
             self.unknown_run_stops
@@ -189,7 +197,8 @@
             self.order_stop(run);
         }
         let running: HashSet<&Run> = listing.running.iter().map(|(run, _)| run).collect();
-        // No order for the life before is carried out any more; what isn't here never will be.
+        // No order for the incarnation before is carried out any more, so a run that isn't listed
+        // here will never begin.
         for run in std::mem::take(&mut self.inherited) {
             if !running.contains(&run) {
                 self.end_run(now, &run, RunOutcome::Gone);
