--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -1,4 +1,4 @@
-//! The agent's links to entries: taken in, and spoken over.
+//! The agent's side of its links to entries: accepts them and exchanges messages on them.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -16,19 +16,21 @@
 use crate::decide::besteffort::message::{AgentMessage, Backend, EntryIncarnation, EntryMessage};
 use crate::mutex;
 
-/// Longest that an entry may take to say who it is.
+/// Timeout of the first message of an entry, which names it.
 const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Most links at a time. An agent has some ten; where many entries know few agents, as in the first second of a large
-/// fleet, the others turn to the next agents of their order.
+/// Maximum number of links at a time. An agent usually has about ten. If many entries know few
+/// agents, as in the first second of a large fleet, the entries that are turned away try the next
+/// agents in their order.
 pub const MAX_LINKS: usize = 128;
 
-/// Part of a heartbeat after which a line of the entry is answered by one of the agent, where nothing
-/// left meanwhile: the heartbeats of an entry call for those of its agents.
+/// If the agent has written nothing on a link for this many heartbeats, it answers the entry's next
+/// message. An entry's heartbeats so prompt those of its agents.
 const ANSWER_AFTER_HEARTBEATS: f64 = 0.5;
 
-/// Heartbeats after which the agent speaks unasked, because the entry is late. Its timer is set back
-/// by each line that leaves, so that a link costs no wake-up of its own while the entry is well.
+/// If nothing was written on a link for this many heartbeats, the entry is late and the agent
+/// writes a message unprompted. Every write resets the timer, so that a link causes no wake-up of
+/// its own while the entry's messages arrive in time.
 const UNPROMPTED_AFTER_HEARTBEATS: f64 = 1.25;
 
 pub(super) async fn accept_links(inner: Arc<Inner>, listener: TcpListener) {
@@ -68,7 +70,7 @@
     }
 }
 
-/// An entry that has connected and said who it is.
+/// A connection whose entry has named itself.
 struct IdentifiedLink {
     name: EntryIncarnation,
     number: u64,
@@ -83,7 +85,7 @@
         .await
         .map_err(late)??;
     let name = first.entry.ok_or(io::ErrorKind::InvalidData)?;
-    // Until then no entry may hear that nothing runs here.
+    // Until an earlier incarnation's runs have ended, no entry may be told that nothing runs here.
     while !inner.leftovers_ended.load(Ordering::Relaxed) {
         sleep(TICK).await;
     }
@@ -95,8 +97,9 @@
     })
 }
 
-/// Makes a link the one of its entry; none if a later one is, or if there are too many. The one before is closed: an entry's connection that
-/// went silent would take in ends and loans that the entry never hears of.
+/// Registers a link as the one of its entry; returns none if a later link of the entry is
+/// registered or there are too many links. The entry's previous link is closed: if its connection
+/// had gone silent, ends and loans would be written to it that the entry never receives.
 fn register_link(inner: &Inner, name: &EntryIncarnation, number: u64) -> Option<Link> {
     let mut links = mutex::lock(&inner.links);
     if let Some(old) = links.get(name) {
@@ -125,7 +128,7 @@
     } = identified;
     let Some(link) = register_link(inner, &name, number) else {
         return Err(io::Error::other(
-            "a later link of the entry is up, or too many are",
+            "a later link of the entry is up, or the agent has too many links",
         ));
     };
     log::info!(entry = name.entry.as_str(), life = name.incarnation; "link to an entry is up");
@@ -133,42 +136,43 @@
     hello.agent = inner.cfg.name.clone();
     hello.incarnation = inner.cfg.incarnation;
     hello.failure_domain = inner.cfg.failure_domain.clone();
-    let mut talk = LinkSession {
+    let mut session = LinkSession {
         inner: inner.clone(),
         name,
         sent_backend: Backend::default(),
         starts_read: 0,
     };
-    let mut line = talk.next_message();
-    line.hello = Some(hello);
-    writer.write(&line).await?;
-    let mut heard = clock::since_boot();
+    let mut message = session.next_message();
+    message.hello = Some(hello);
+    writer.write(&message).await?;
+    let mut heard_at = clock::since_boot();
     let heartbeat = inner.cfg.bounds.heartbeat;
-    let mut written = Instant::now();
+    let mut written_at = Instant::now();
     loop {
         let answers = tokio::select! {
             () = link.close.notified() => return Ok(()),
-            line = reader.read::<EntryMessage>() => {
-                heard = clock::since_boot();
-                talk.handle_message(line?);
-                written.elapsed() > heartbeat.mul_f64(ANSWER_AFTER_HEARTBEATS)
+            message = reader.read::<EntryMessage>() => {
+                heard_at = clock::since_boot();
+                session.handle_message(message?);
+                written_at.elapsed() > heartbeat.mul_f64(ANSWER_AFTER_HEARTBEATS)
             }
             () = link.wake.notified() => true,
-            () = sleep_until(written + heartbeat.mul_f64(UNPROMPTED_AFTER_HEARTBEATS)) => {
-                if clock::since_boot() - heard > inner.cfg.bounds.silence {
+            () = sleep_until(written_at + heartbeat.mul_f64(UNPROMPTED_AFTER_HEARTBEATS)) => {
+                if clock::since_boot() - heard_at > inner.cfg.bounds.silence {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
                 true
             }
         };
         if answers {
-            writer.write(&talk.next_message()).await?;
-            written = Instant::now();
+            writer.write(&session.next_message()).await?;
+            written_at = Instant::now();
         }
     }
 }
 
-/// One link while it is up.
+/// The state of one link while it is up: what the entry was told and how many of its starts were
+/// read.
 struct LinkSession {
     inner: Arc<Inner>,
     name: EntryIncarnation,
@@ -177,22 +181,22 @@
 }
 
 impl LinkSession {
-    fn handle_message(&mut self, line: EntryMessage) {
+    fn handle_message(&mut self, message: EntryMessage) {
         let now = clock::since_boot();
         let changed = {
             let mut slots = mutex::lock(&self.inner.slots);
-            let changed = line
+            let changed = message
                 .evacuation
-                .is_some_and(|word| slots.update_evacuation(now, word));
-            let fresh = slots.message_received(now, &self.name, line.seen_ms);
-            for run in &line.stops {
+                .is_some_and(|state| slots.update_evacuation(now, state));
+            let fresh = slots.message_received(now, &self.name, message.seen_ms);
+            for run in &message.stops {
                 slots.withdraw(now, &self.name, run);
             }
-            for start in line.starts {
+            for start in message.starts {
                 self.starts_read += 1;
                 slots.start_requested(now, &self.name, fresh, start);
             }
-            slots.update_waiting_work(now, &self.name, line.seen_ms, line.waiting);
+            slots.update_waiting_work(now, &self.name, message.seen_ms, message.waiting);
             changed
         };
         send_orders(&self.inner);
@@ -205,13 +209,13 @@
 
     fn next_message(&mut self) -> AgentMessage {
         let mut slots = mutex::lock(&self.inner.slots);
-        let mut line = slots.next_message(&self.name, clock::since_boot());
-        line.starts_read = self.starts_read;
+        let mut message = slots.next_message(&self.name, clock::since_boot());
+        message.starts_read = self.starts_read;
         let backend = slots.advertised_backend();
         if backend != self.sent_backend {
             self.sent_backend = backend.clone();
-            line.backend = Some(backend);
+            message.backend = Some(backend);
         }
-        line
+        message
     }
 }
--- a/src/besteffort/agent/mod.rs
+++ b/src/besteffort/agent/mod.rs
@@ -1,7 +1,8 @@
-//! An agent for best-effort work: links to the entries on one side, a backend server on the other.
+//! An agent for best-effort work, between the entries that link to it and its backend server.
 //!
-//! What may run is decided by [`Slots`]; this part carries orders out and words across. All runs on
-//! one thread: the small machines beside backend servers have a fraction of one core.
+//! [`Slots`] decides what runs; this module sends its orders to the backend server and its messages
+//! to the entries. Everything runs on one thread: the small machines beside backend servers have a
+//! fraction of one core.
 
 mod link;
 mod server;
@@ -32,79 +33,83 @@
 use crate::id;
 use crate::mutex;
 
-/// How often time bounds are looked at; small against the shortest of them (40 ms).
+/// Interval at which the time bounds are checked; short against the shortest of them (40 ms).
 const TICK: time::Duration = time::Duration::from_millis(20);
 
-/// How long past that a listing's answer may take before it counts as lost.
+/// How long a listing's answer may take beyond the time that the backend server waits for an end.
+/// After that the answer counts as lost.
 const LISTING_ANSWER_MARGIN: time::Duration = time::Duration::from_millis(200);
 
 /// A boxed future, as the closures of [`BackendServer`] return it.
 pub type Answer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// Why a listing brought nothing.
+/// Why a listing failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListingError {
-    /// No answer; nobody can tell what the backend server did.
+    /// There was no answer, so that nobody knows what the backend server did.
     NoAnswer,
-    /// Another life of the backend server answered: what was started before has ended.
+    /// Another incarnation of the backend server answered, so that all runs on the one that was
+    /// asked have ended.
     AnotherIncarnation,
-    /// Nothing listens there: the backend server has ended.
+    /// The connection was refused: the backend server has ended.
     Refused,
 }
 
-/// How the agent speaks to the backend server beside it.
+/// The calls of an agent to its backend server.
 pub struct BackendServer {
-    /// Starts a run under a lease that ends at the given time of the backend server's clock.
+    /// Starts a run under a lease that ends at the given time of the backend server's clock, in
+    /// milliseconds.
     #[allow(clippy::type_complexity)]
     pub start: Box<dyn Fn(Recipient, Run, CompactString, u64) -> Answer<StartAnswer> + Send + Sync>,
-    /// Stops a run, or makes sure that it never begins; true once that is certain.
+    /// Stops a run, or makes sure that it never begins; resolves to true once that is certain.
     pub stop: Box<dyn Fn(Recipient, Run) -> Answer<bool> + Send + Sync>,
-    /// Lists what it has.
+    /// Lists the runs that the backend server has.
     pub list: Box<dyn Fn(ListCall) -> Answer<Result<Listing, ListingError>> + Send + Sync>,
 }
 
-/// What is asked with a listing.
+/// The content of a request for a listing.
 #[derive(Clone, Debug)]
 pub struct ListCall {
-    /// Whom it is meant for.
+    /// The incarnation that is asked.
     pub to: Recipient,
-    /// The end of the lease to renew, on the backend server's clock.
+    /// The requested end of the lease, in milliseconds of the backend server's clock; none to leave
+    /// the lease as it is.
     pub lease_until_ms: Option<u64>,
-    /// The last end that needn't be listed any more.
+    /// The number of the last end that needn't be listed again.
     pub acknowledged: u64,
-    /// How long to wait for an end.
+    /// How long the backend server may delay its answer until a run ends.
     pub wait: time::Duration,
 }
 
-/// Who an agent is.
+/// The identity of an agent, and the bounds it keeps.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name by which the agent is listed.
     pub name: id::AgentId,
-    /// Which life of it.
+    /// The incarnation of the agent, which changes with each start of the process.
     pub incarnation: id::Incarnation,
-    /// Its failure domain.
+    /// The failure domain of the agent and its backend server.
     pub failure_domain: CompactString,
-    /// Where entries connect.
+    /// The address to listen at for links of entries.
     pub link_addr: SocketAddr,
-    /// The time bounds that it keeps.
+    /// The time bounds on silence, leases and heartbeats.
     pub bounds: Bounds,
 }
 
-/// An agent in numbers.
+/// A snapshot of an agent for the metrics page.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// Whether anything is with the backend server.
+    /// Whether any run was sent to the backend server and hasn't ended.
     pub working: bool,
-    /// Room that nobody uses or waits for.
+    /// The room that is neither used nor needed by waiting starts.
     pub free: Room,
-    /// Entries that are linked.
+    /// The number of entries that have a link.
     pub linked_entries: usize,
-    /// How long ago the backend server answered; none if it never did.
+    /// The time since the backend server last answered; none if it never has.
     pub last_answer_age: Option<time::Duration>,
-    /// Whether it takes new work.
+    /// Whether the agent accepts new work.
     pub takes_work: bool,
-    /// Counts since the start.
+    /// What the agent has counted since its start.
     pub counts: Counts,
 }
 
@@ -113,36 +118,37 @@
     server: BackendServer,
     slots: Mutex<Slots>,
     links: Mutex<HashMap<EntryIncarnation, Link>>,
-    /// Wakes the listing loop when work begins after a quiet time.
+    /// Wakes the listing loop, which may be idle, when a start or a stop was answered.
     work_began: Notify,
-    /// Wakes it when the backend server has a new life.
+    /// Wakes the listing loop when the backend server has a new incarnation.
     new_incarnation: Notify,
-    /// Whether nothing runs any more that an earlier life of the agent had started. Before that the
-    /// lease isn't renewed, and no entry is told that nothing runs here.
+    /// Whether all runs that an earlier incarnation of the agent started have ended. Before that
+    /// the lease isn't renewed, and no entry is told that nothing runs here.
     leftovers_ended: AtomicBool,
 }
 
-/// The link of an entry.
+/// The registered link of an entry.
 #[derive(Clone)]
 struct Link {
-    /// Which of the entry's links.
+    /// The number that the entry gave the link; a later link has a larger one.
     number: u64,
     wake: Arc<Notify>,
     close: Arc<Notify>,
 }
 
-/// A running agent.
+/// A handle to a running agent.
 #[derive(Clone)]
 pub struct Agent {
     inner: Arc<Inner>,
     addr: SocketAddr,
 }
 
-/// Starts an agent that entries can connect to. It first ends whatever an earlier life left running.
+/// Starts an agent and listens for links of entries. It first ends the runs that an earlier
+/// incarnation of it has left.
 ///
 /// # Errors
 ///
-/// Returns what the system says where the address can't be bound.
+/// Returns the system's error if the address can't be bound.
 pub async fn bind(cfg: Config, server: BackendServer) -> io::Result<Agent> {
     let listener = TcpListener::bind(cfg.link_addr).await?;
     let addr = listener.local_addr()?;
@@ -162,12 +168,13 @@
 }
 
 impl Agent {
-    /// Where entries connect.
+    /// Returns the address at which entries connect.
     pub fn link_addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The backend server has announced itself.
+    /// Handles a heartbeat of the backend server. If it comes from an incarnation that isn't the
+    /// current one, that incarnation is checked first.
     pub fn heartbeat_received(&self, heartbeat: Heartbeat) {
         let check =
             mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
@@ -178,54 +185,55 @@
         wake_all_links(&self.inner);
     }
 
-    /// The life of the backend server that is known; with an empty id before any.
+    /// Returns the current incarnation of the backend server; its id is empty before one is known.
     pub fn server_incarnation(&self) -> ServerIncarnation {
         mutex::lock(&self.inner.slots).server_incarnation().clone()
     }
 
-    /// The backend server as it last announced itself.
+    /// Returns the backend server as it last announced itself.
     pub fn backend(&self) -> Backend {
         mutex::lock(&self.inner.slots).announced_backend().clone()
     }
 
-    /// The backend server as an earlier life of the agent knew it. Its own word, which may take a
-    /// heartbeat, goes first.
+    /// Restores the backend server as an earlier incarnation of the agent knew it, if a check finds
+    /// it up. Otherwise the agent would wait for the next heartbeat. Does nothing once an
+    /// incarnation is known.
     pub async fn restore_backend(&self, backend: Backend) {
         if !self.server_incarnation().id.is_empty() {
             return;
         }
-        let life = backend.incarnation.clone();
-        // Whatever it has said since goes first.
+        let incarnation = backend.incarnation.clone();
+        // Number 0 makes every heartbeat that the backend server has sent count as newer.
         let heartbeat = Heartbeat { backend, number: 0 };
         let check =
             mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
         if let Some(check) = check {
             check_incarnation(self.inner.clone(), check).await;
         }
-        let there = self.server_incarnation() == life;
-        log::info!(instance = life.id.as_str(), born_ms = life.born_ms, there = there;
+        let is_up = self.server_incarnation() == incarnation;
+        log::info!(instance = incarnation.id.as_str(), born_ms = incarnation.born_ms, there = is_up;
             "backend server is remembered");
     }
 
-    /// A life of the backend server has left.
-    pub fn server_left(&self, life: &ServerIncarnation) {
-        mutex::lock(&self.inner.slots).server_left(clock::since_boot(), life);
+    /// Handles the announcement of an incarnation of the backend server that it leaves.
+    pub fn server_left(&self, incarnation: &ServerIncarnation) {
+        mutex::lock(&self.inner.slots).server_left(clock::since_boot(), incarnation);
         send_orders(&self.inner);
         wake_all_links(&self.inner);
     }
 
-    /// Which life of the agent this is.
+    /// Returns the incarnation of the agent itself.
     pub fn incarnation(&self) -> id::Incarnation {
         self.inner.cfg.incarnation
     }
 
-    /// The crashes of its backend servers that are remembered.
+    /// Returns the crashes of the backend server that are remembered.
     pub fn crashes(&self) -> Vec<Crash> {
         mutex::lock(&self.inner.slots).crashes()
     }
 
-    /// Takes no new work, lets what runs end, `longest` at most, and ends the rest.
-    pub async fn stop(&self, longest: time::Duration) {
+    /// Accepts no new work, waits at most `max_wait` for the runs to end, and ends the rest.
+    pub async fn stop(&self, max_wait: time::Duration) {
         mutex::lock(&self.inner.slots).stop_accepting(clock::since_boot());
         send_orders(&self.inner);
         wake_all_links(&self.inner);
@@ -234,17 +242,17 @@
                 sleep(TICK).await;
             }
         };
-        if timeout(longest, idle).await.is_err() {
+        if timeout(max_wait, idle).await.is_err() {
             log::warn!("stopping with runs left; they are ended");
             mutex::lock(&self.inner.slots).end_all_runs(clock::since_boot());
             send_orders(&self.inner);
             sleep(2 * lease::MAX_STOP_TIME).await;
         }
-        // The last ends leave with the next line.
+        // The last ends are sent with the next message on each link.
         sleep(TICK).await;
     }
 
-    /// What it has and did, for the metrics page.
+    /// Returns a snapshot of the agent, for the metrics page.
     pub fn status(&self) -> Status {
         let now = clock::since_boot();
         let linked_entries = mutex::lock(&self.inner.links).len();
--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -1,4 +1,5 @@
-//! The agent's driver towards its backend server: listings, orders, and the look at the time bounds.
+//! Runs the agent's side of the connection to its backend server: requests listings, sends orders
+//! and checks the time bounds.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -15,17 +16,18 @@
 use crate::decide::besteffort::slots::{Check, CheckResult, Order, StartAnswer};
 use crate::mutex;
 
-/// The same while nothing is held.
+/// Interval at which the time bounds are checked while the agent holds no run.
 const IDLE_TICK: time::Duration = time::Duration::from_millis(100);
 
-/// How long a listing may wait for an end; bounds the age of the lease and of the progress.
+/// How long the backend server may delay a listing until a run ends; it bounds the age of the lease
+/// and of the reported progress.
 const MAX_LISTING_WAIT: time::Duration = time::Duration::from_millis(150);
 
-/// How long nothing may be heard while something runs before what there is now is asked for. About what
-/// passes between two ends at an agent under an ordinary load (33 ms).
+/// How long a delayed listing may be silent while something runs before a second one asks for the
+/// present state. About the time between two ends at an agent under ordinary load (33 ms).
 const PROBE_AFTER: time::Duration = time::Duration::from_millis(40);
 
-/// How long after an end was listed elsewhere the listing that waits for one may still come.
+/// How long the delayed listing may still take after the second one has listed an end.
 const WAITING_LISTING_GRACE: time::Duration = time::Duration::from_millis(5);
 
 /// Pause after a listing that failed.
@@ -34,7 +36,7 @@
 pub(super) async fn tick(inner: Arc<Inner>) {
     let mut last = clock::since_boot();
     let bounds = inner.cfg.bounds;
-    let lapsed = last + bounds.lease_lapses_within();
+    let leftovers_lapse_at = last + bounds.lease_lapses_within();
     loop {
         let idle = mutex::lock(&inner.slots).is_idle();
         sleep(if idle { IDLE_TICK } else { TICK }).await;
@@ -43,7 +45,7 @@
             log::warn!(ms = (now - last).as_millis() as u64; "this process stood still");
         }
         last = now;
-        if now > lapsed {
+        if now > leftovers_lapse_at {
             inner.leftovers_ended.store(true, Ordering::Relaxed);
         }
         renew_if_late(&inner, now);
@@ -62,8 +64,8 @@
     }
 }
 
-/// Keeps a listing waiting at the backend server, so that ends are heard at once and the lease is
-/// renewed.
+/// Keeps a delayed listing under way at the backend server, so that ends are learned at once and
+/// the lease is renewed.
 pub(super) async fn keep_listing(inner: Arc<Inner>) {
     loop {
         if !wait_for_end(&inner).await {
@@ -75,12 +77,12 @@
     }
 }
 
-/// Waits for a listing that tells of an end; false where none can be had.
+/// Waits for a listing that contains an end; returns false if none could be had.
 ///
-/// A listing that waits may have been lost on its way, and looks just like one that waits for an end:
-/// where one order in twenty was lost, one task in ten was heard to end 200 ms late, and its slot stood
-/// idle for as long. So while something runs and nothing was heard for a moment, a second listing asks
-/// what there is now. Has anything ended, the one that waits is lost and given up.
+/// A lost listing looks like one that is delayed until a run ends. When one order in twenty was
+/// lost, one end in ten was learned 200 ms late, and its slot was idle for as long. So while
+/// something runs and no listing came for [`PROBE_AFTER`], a second listing asks for the present
+/// state. If that one contains an end, the delayed one is lost and is given up.
 async fn wait_for_end(inner: &Arc<Inner>) -> bool {
     let waiting = list_once(inner, MAX_LISTING_WAIT);
     tokio::pin!(waiting);
@@ -88,18 +90,19 @@
         let is_working = mutex::lock(&inner.slots).is_working();
         tokio::select! {
             listed = &mut waiting => return listed.is_some(),
-            // A listing of the life before may hang for as long as it is allowed to; waiting for it
-            // would make the new life look out of reach.
+            // A listing of the incarnation before may hang until its timeout; if the agent waited
+            // for it, the new incarnation would look unreachable.
             () = inner.new_incarnation.notified() => return true,
-            // An idle agent, which most of a large fleet are, needn't wake up to see that nothing runs.
+            // An idle agent, as most of a large fleet are, needn't wake up to see that nothing
+            // runs.
             () = inner.work_began.notified(), if !is_working => continue,
             () = sleep(PROBE_AFTER), if is_working => {}
         }
         if !mutex::lock(&inner.slots).is_working() {
             continue;
         }
-        let ends = list_once(inner, time::Duration::ZERO).await;
-        if ends.is_some_and(|ends| ends > 0) {
+        let end_count = list_once(inner, time::Duration::ZERO).await;
+        if end_count.is_some_and(|count| count > 0) {
             return match timeout(WAITING_LISTING_GRACE, &mut waiting).await {
                 Ok(listed) => listed.is_some(),
                 Err(_) => true,
@@ -108,7 +111,7 @@
     }
 }
 
-/// Asks a life that has announced itself whether it is there.
+/// Checks whether an incarnation that has announced itself is up.
 pub(super) async fn check_incarnation(inner: Arc<Inner>, check: Check) {
     let sent = clock::since_boot();
     let call = (inner.server.list)(ListCall {
@@ -117,15 +120,15 @@
         acknowledged: 0,
         wait: time::Duration::ZERO,
     });
-    let checked = match timeout(LISTING_ANSWER_MARGIN, call).await {
+    let result = match timeout(LISTING_ANSWER_MARGIN, call).await {
         Ok(Ok(listing)) => CheckResult::Answered(listing),
         Ok(Err(ListingError::AnotherIncarnation)) => CheckResult::AnotherIncarnation,
         Ok(Err(ListingError::NoAnswer | ListingError::Refused)) | Err(_) => CheckResult::NoAnswer,
     };
-    let is_idle = matches!(&checked, CheckResult::Answered(listing) if listing.running.is_empty());
-    let known =
-        mutex::lock(&inner.slots).check_answered(clock::since_boot(), sent, &check, checked);
-    if !known {
+    let is_idle = matches!(&result, CheckResult::Answered(listing) if listing.running.is_empty());
+    let is_current =
+        mutex::lock(&inner.slots).check_answered(clock::since_boot(), sent, &check, result);
+    if !is_current {
         return;
     }
     if is_idle {
@@ -136,15 +139,15 @@
     wake_all_links(&inner);
 }
 
-/// Lists what the backend server has; returns how many ends were listed, none without an answer.
+/// Requests a listing and handles it. Returns the number of ends in it; none without an answer.
 async fn list_once(inner: &Arc<Inner>, wait: time::Duration) -> Option<usize> {
     let sent = clock::since_boot();
     let call = {
         let mut slots = mutex::lock(&inner.slots);
-        let clean = inner.leftovers_ended.load(Ordering::Relaxed);
+        let leftovers_ended = inner.leftovers_ended.load(Ordering::Relaxed);
         ListCall {
             to: slots.recipient(),
-            lease_until_ms: clean.then(|| slots.renew_lease(sent)).flatten(),
+            lease_until_ms: leftovers_ended.then(|| slots.renew_lease(sent)).flatten(),
             acknowledged: slots.acknowledged_end(),
             wait,
         }
@@ -152,14 +155,14 @@
     let asked = call.to.clone();
     let answer = timeout(wait + LISTING_ANSWER_MARGIN, (inner.server.list)(call)).await;
     let now = clock::since_boot();
-    // Word from or about an earlier life, which was under way when the next one announced itself,
-    // says nothing of what runs now. Taken for news, it ends runs that have just begun, and their
-    // tasks run twice.
+    // An answer from or about an earlier incarnation, which was under way when the next one was
+    // accepted, says nothing about what runs now. If it were used, it would end runs that have just
+    // begun, and their tasks would run twice.
     if mutex::lock(&inner.slots).recipient() != asked {
         return None;
     }
-    let listed = match answer {
-        Ok(Ok(listed)) => listed,
+    let listing = match answer {
+        Ok(Ok(listing)) => listing,
         Ok(Err(ListingError::AnotherIncarnation)) => {
             mutex::lock(&inner.slots).another_incarnation_answered(now);
             return None;
@@ -179,14 +182,14 @@
         }
         Ok(Err(ListingError::NoAnswer)) | Err(_) => return None,
     };
-    if listed.running.is_empty() {
+    if listing.running.is_empty() {
         inner.leftovers_ended.store(true, Ordering::Relaxed);
     }
-    let ends = listed.ended.len();
+    let end_count = listing.ended.len();
     let changed = {
         let mut slots = mutex::lock(&inner.slots);
         let before = slots.advertised_backend();
-        slots.listing_received(now, sent, listed);
+        slots.listing_received(now, sent, listing);
         slots.advertised_backend() != before
     };
     send_orders(inner);
@@ -195,10 +198,10 @@
     } else {
         wake_links_with_unsent(inner);
     }
-    Some(ends)
+    Some(end_count)
 }
 
-/// Carries out what the slots ask for.
+/// Sends the orders that the agent has decided to the backend server.
 pub(super) fn send_orders(inner: &Arc<Inner>) {
     let orders = mutex::lock(&inner.slots).take_orders();
     for order in orders {
@@ -231,10 +234,10 @@
 
 async fn await_stop(inner: Arc<Inner>, run: Run, answer: Answer<bool>) {
     if answer.await {
-        let unsure = mutex::lock(&inner.slots).stop_answered(clock::since_boot(), &run);
+        let start_unconfirmed = mutex::lock(&inner.slots).stop_answered(clock::since_boot(), &run);
         inner.work_began.notify_one();
-        if unsure {
-            // The listing that is under way waits for an end, which may never come.
+        if start_unconfirmed {
+            // The delayed listing that is under way waits for an end, which may never come.
             list_once(&inner, time::Duration::ZERO).await;
         }
     }
--- a/src/besteffort/entry/link.rs
+++ b/src/besteffort/entry/link.rs
@@ -1,4 +1,4 @@
-//! The entry's links to agents: kept up, and spoken over.
+//! The entry's side of its links to agents: keeps them up and exchanges messages on them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,36 +18,37 @@
 use crate::id;
 use crate::mutex;
 
-/// Longest that a connect to an agent may take: many round trips between failure domains (2 ms); the agent's
-/// system answers, however busy the agent is. An address without power answers nothing, and the sooner the next
-/// try, the sooner an agent that has just started is found.
+/// Timeout of a connect to an agent: many round trips between failure domains (2 ms), since the
+/// agent's operating system answers however busy the agent is. A machine that is off doesn't answer
+/// at all, and the sooner the next try, the sooner an agent that has just started is found.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
-/// How long an agent may take to say who it is. One that has just started first ends what its earlier life has left
-/// running, which takes as long as the lease of that.
+/// Timeout of an agent's hello. An agent that has just started first ends what its earlier
+/// incarnation left running, which takes as long as that incarnation's lease.
 const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
-/// Pause before the next connect to an agent, doubled each time up to the longest. An agent that was killed is
-/// mostly back within seconds.
+/// Pause before the first reconnect to an agent, doubled after each failure up to the maximum. An
+/// agent that was killed is usually back within seconds.
 const MIN_RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(50);
 const MAX_RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(400);
 
-/// Failed connects in a row after which the agent is hardly back soon, and the pause from then on.
+/// Number of failed connects in a row after which the agent is unlikely to be back soon, and the
+/// pause from then on.
 const MAX_FREQUENT_TRIES: u32 = 60;
 const RARE_RECONNECT_PAUSE: time::Duration = time::Duration::from_secs(4);
 
-/// The entry's side of a link.
+/// What the tasks of an entry share about one link.
 #[derive(Default)]
 pub(super) struct Link {
-    /// What waits for the writer.
+    /// The message that is being composed; starts and stops are added until it is written.
     pub(super) outgoing: Mutex<EntryMessage>,
-    /// When the last line left.
+    /// When the last message was written, in time since boot.
     pub(super) written_at: Mutex<time::Duration>,
     pub(super) wake: Notify,
     pub(super) close: Notify,
 }
 
-/// Keeps a link to an agent up, until the other end of `stop` is dropped.
+/// Keeps a link to an agent up until the other end of `stop` is dropped.
 pub(super) async fn maintain_link(
     inner: Arc<Inner>,
     agent: id::AgentId,
@@ -87,7 +88,8 @@
     }
 }
 
-/// How long to wait after some failed connects. Entries that lost an agent together don't come back together.
+/// Pause after a number of failed connects. It is random, so that entries which lost an agent
+/// together don't reconnect together.
 fn reconnect_pause(tries: u32) -> time::Duration {
     let pause = if tries > MAX_FREQUENT_TRIES {
         RARE_RECONNECT_PAUSE
@@ -116,60 +118,66 @@
     let hello: AgentMessage = timeout(HELLO_TIMEOUT, reader.read())
         .await
         .map_err(late)??;
-    let named = hello.hello.as_ref().filter(|hello| hello.agent == *agent);
-    let domain = named.map(|hello| hello.failure_domain.clone());
-    let domain = domain.ok_or_else(|| io::Error::other("another agent has its address"))?;
+    let expected_hello = hello.hello.as_ref().filter(|hello| hello.agent == *agent);
+    let domain = expected_hello.map(|hello| hello.failure_domain.clone());
+    let domain =
+        domain.ok_or_else(|| io::Error::other("an agent of another id answered at its address"))?;
     let link = Arc::new(Link::default());
     mutex::lock(&inner.links).insert(no, link.clone());
-    let mut told = evacuation::LastSent::default();
-    let mut seen = AgentClock::default();
-    handle_message(inner, no, &mut seen, hello);
+    let mut last_sent = evacuation::LastSent::default();
+    let mut agent_clock = AgentClock::default();
+    handle_message(inner, no, &mut agent_clock, hello);
     loop {
         tokio::select! {
-            line = reader.read::<AgentMessage>() => {
-                let line = line?;
-                let lent = !line.lent.is_empty();
-                handle_message(inner, no, &mut seen, line);
+            message = reader.read::<AgentMessage>() => {
+                let message = message?;
+                let lent = !message.lent.is_empty();
+                handle_message(inner, no, &mut agent_clock, message);
                 if lent {
                     link.wake.notify_one();
                 }
             }
             () = link.wake.notified() => {
-                let mut line = seen.next_message(&link, waiting_work_to_send(inner, no));
-                let word = mutex::lock(&inner.evacuations).domain_state(&domain);
-                line.evacuation = told.due(clock::since_boot(), word);
-                writer.write(&line).await?;
+                let mut message = agent_clock.next_message(&link, waiting_work_to_send(inner, no));
+                let state = mutex::lock(&inner.evacuations).domain_state(&domain);
+                message.evacuation = last_sent.due(clock::since_boot(), state);
+                writer.write(&message).await?;
             }
             () = link.close.notified() => return Ok(()),
         }
     }
 }
 
-/// What waits for room now; the agent of a link is about to hear of it.
+/// Returns the work that waits for room, and records that the agent of this link is told of it.
 fn waiting_work_to_send(inner: &Inner, no: LinkNo) -> Option<WaitingWork> {
-    let mut waits = mutex::lock(&inner.demand);
-    let wants = waits.waiting_work;
-    waits
+    let mut demand = mutex::lock(&inner.demand);
+    let work = demand.waiting_work;
+    demand
         .room_requests
-        .message_sent(no, wants.map(|wants| wants.priority));
-    wants
+        .message_sent(no, work.map(|work| work.priority));
+    work
 }
 
-fn handle_message(inner: &Arc<Inner>, no: LinkNo, seen: &mut AgentClock, line: AgentMessage) {
+fn handle_message(
+    inner: &Arc<Inner>,
+    no: LinkNo,
+    agent_clock: &mut AgentClock,
+    message: AgentMessage,
+) {
     let now = clock::since_boot();
-    seen.agent_ms = line.now_ms;
-    seen.heard_at = now;
+    agent_clock.agent_ms = message.now_ms;
+    agent_clock.heard_at = now;
     {
         let mut board = mutex::lock(&inner.board);
-        if let Some(hello) = &line.hello {
+        if let Some(hello) = &message.hello {
             board.agent_up(now, no, hello);
         }
-        board.handle_message(now, no, &line);
+        board.handle_message(now, no, &message);
     }
     perform_actions(inner);
 }
 
-/// The agent's clock as last heard, and when that was.
+/// The agent's clock in its last message, and when that message arrived.
 #[derive(Default)]
 struct AgentClock {
     agent_ms: u64,
@@ -177,22 +185,22 @@
 }
 
 impl AgentClock {
-    /// The next line, with what waits for the writer; times become those of the agent's clock. The
-    /// way here makes them too early at most.
-    fn next_message(&self, link: &Link, wants: Option<WaitingWork>) -> EntryMessage {
+    /// Takes the composed message to write it now. Times are converted to the agent's clock; the
+    /// transit time of the agent's last message makes them too early, never too late.
+    fn next_message(&self, link: &Link, work: Option<WaitingWork>) -> EntryMessage {
         *mutex::lock(&link.written_at) = clock::since_boot();
-        let mut line = std::mem::take(&mut *mutex::lock(&link.outgoing));
-        line.waiting = wants;
-        line.seen_ms = self.agent_ms;
-        let at = self.heard_at.as_millis() as u64;
-        let there = |ms: u64| (ms + self.agent_ms).saturating_sub(at);
-        for start in &mut line.starts {
-            start.deadline_ms = there(start.deadline_ms);
-            start.urgency_ms = there(start.urgency_ms);
+        let mut message = std::mem::take(&mut *mutex::lock(&link.outgoing));
+        message.waiting = work;
+        message.seen_ms = self.agent_ms;
+        let heard_at_ms = self.heard_at.as_millis() as u64;
+        let agent_time = |ms: u64| (ms + self.agent_ms).saturating_sub(heard_at_ms);
+        for start in &mut message.starts {
+            start.deadline_ms = agent_time(start.deadline_ms);
+            start.urgency_ms = agent_time(start.urgency_ms);
         }
-        if let Some(wants) = &mut line.waiting {
-            wants.urgency_ms = there(wants.urgency_ms);
+        if let Some(work) = &mut message.waiting {
+            work.urgency_ms = agent_time(work.urgency_ms);
         }
-        line
+        message
     }
 }
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -1,7 +1,7 @@
-//! An entry for best-effort work: callers' jobs on one side, links from the agents on the other.
+//! An entry for best-effort work, between callers that submit jobs and the agents that it links to.
 //!
-//! What is done is decided by [`Board`]; this part carries its actions out. All runs on one thread:
-//! the entry VMs have a fraction of one core.
+//! [`Board`] decides what is done; this module carries out its actions. Everything runs on one
+//! thread: the entry VMs have a fraction of one core.
 
 mod link;
 
@@ -26,27 +26,27 @@
 use crate::id;
 use crate::mutex;
 
-/// How often time bounds are looked at.
+/// Interval at which the time bounds are checked.
 const TICK: time::Duration = time::Duration::from_millis(20);
 
-/// Lateness of a tick that tells of a pause of the process. A machine that has used up its share of
-/// the processor pauses for less than 100 ms.
+/// A tick that comes so late shows that the process was paused. A machine that has used up its
+/// share of the processor pauses for less than 100 ms.
 const MIN_PROCESS_PAUSE: time::Duration = time::Duration::from_millis(180);
 
-/// Part of a heartbeat within which a line that left makes the next heartbeat needless. The longest
+/// A message written within this part of the heartbeat interval replaces the heartbeat. The longest
 /// silence is then 150 ms, and two more heartbeats fit before an agent gives the entry up.
 const RECENT_WRITE_HEARTBEATS: f64 = 0.25;
 
-/// Who an entry is.
+/// The identity of an entry, its bounds and its policy.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name and life.
+    /// The entry's name and incarnation.
     pub name: EntryIncarnation,
-    /// Its failure domain.
+    /// The failure domain of the entry, whose agents it prefers.
     pub failure_domain: CompactString,
-    /// The time bounds that it keeps.
+    /// The time bounds on silence, leases and heartbeats.
     pub bounds: Bounds,
-    /// How it decides.
+    /// The thresholds of its decisions.
     pub policy: Policy,
 }
 
@@ -54,11 +54,11 @@
     cfg: Config,
     board: Mutex<Board>,
     links: Mutex<BTreeMap<LinkNo, Arc<Link>>>,
-    /// Ends the task that keeps the link to an agent, when dropped.
+    /// One sender per agent that is linked to; dropping it ends the task that maintains the link.
     link_stops: Mutex<HashMap<id::AgentId, oneshot::Sender<()>>>,
-    /// What waits for room, and which agents know it.
+    /// The work that waits for room, and which agents know of it.
     demand: Mutex<RoomDemand>,
-    /// Which failure domains get nothing new.
+    /// The failure domains that get no new work.
     evacuations: Mutex<Evacuations>,
     callers: Mutex<HashMap<JobNo, Vec<oneshot::Sender<Outcome>>>>,
     next_link: Mutex<LinkNo>,
@@ -70,13 +70,13 @@
     room_requests: RoomRequests,
 }
 
-/// A running entry.
+/// A handle to a running entry.
 #[derive(Clone)]
 pub struct Entry {
     inner: Arc<Inner>,
 }
 
-/// Spawns an entry that knows no agents yet.
+/// Starts an entry that knows no agents yet.
 pub fn spawn(cfg: Config) -> Entry {
     let inner = Arc::new(Inner {
         board: Mutex::new(Board::open(
@@ -98,26 +98,28 @@
 }
 
 impl Entry {
-    /// An agent is listed, or is listed with other words than before.
-    pub fn agent_listed(&self, member: ListedAgent) {
-        mutex::lock(&self.inner.board).list_agent(member);
+    /// Adds an agent to the list of agents, or updates its address or labels.
+    pub fn agent_listed(&self, agent: ListedAgent) {
+        mutex::lock(&self.inner.board).list_agent(agent);
     }
 
-    /// An agent isn't listed any more.
+    /// Removes an agent from the list of agents.
     pub fn agent_unlisted(&self, agent: &str) {
         mutex::lock(&self.inner.board).unlist_agent(agent);
     }
 
-    /// An agent has told of a crash of its backend server, and not on a link to this entry.
-    pub fn crash_reported(&self, agent: &str, life: id::Incarnation, crash: &Crash) {
+    /// Records a crash of an agent's backend server that the agent has reported, but not on a link
+    /// to this entry.
+    pub fn crash_reported(&self, agent: &str, incarnation: id::Incarnation, crash: &Crash) {
         let now = clock::since_boot();
-        mutex::lock(&self.inner.board).crash_reported(now, agent, life, crash);
+        mutex::lock(&self.inner.board).crash_reported(now, agent, incarnation, crash);
         perform_actions(&self.inner);
     }
 
-    /// Runs a job and returns how it ended. Dropping the future says that the caller has left.
-    pub async fn run(&self, ask: Submission) -> Outcome {
-        let admitted = mutex::lock(&self.inner.board).submit(clock::since_boot(), ask);
+    /// Runs a job and returns its outcome. Dropping the future means that the caller has left, and
+    /// cancels the job.
+    pub async fn run(&self, submission: Submission) -> Outcome {
+        let admitted = mutex::lock(&self.inner.board).submit(clock::since_boot(), submission);
         let no = match admitted {
             SubmitResult::Answered(outcome) => return outcome,
             SubmitResult::Job(no) => no,
@@ -127,7 +129,7 @@
             .entry(no)
             .or_default()
             .push(tx);
-        let _left = CallerGuard {
+        let _guard = CallerGuard {
             inner: self.inner.clone(),
             no,
         };
@@ -135,7 +137,7 @@
         rx.await.unwrap_or(Outcome::GaveUp)
     }
 
-    /// Withdraws a job at its caller's request; false where it isn't known here.
+    /// Cancels a job at its caller's request; returns false if the job isn't open here.
     pub fn cancel(&self, job: &str) -> bool {
         let found = mutex::lock(&self.inner.board).find_job(job);
         let Some(no) = found else {
@@ -147,33 +149,34 @@
         true
     }
 
-    /// Whether a job is known and hasn't ended.
+    /// Whether a job was submitted here and hasn't ended.
     pub fn has_open_job(&self, job: &str) -> bool {
         mutex::lock(&self.inner.board).find_job(job).is_some()
     }
 
-    /// Jobs of a class of which nothing was started.
+    /// Returns the number of jobs of a class of which no task was started.
     pub fn unstarted_jobs(&self, class: &str) -> usize {
         mutex::lock(&self.inner.board).unstarted_jobs(class)
     }
 
-    /// Jobs that haven't ended.
+    /// Returns the number of jobs that haven't ended.
     pub fn open_jobs(&self) -> usize {
         mutex::lock(&self.inner.board).open_jobs()
     }
 
-    /// From now on takes only jobs that end by then.
+    /// From now on accepts only jobs that are expected to end before `by`.
     pub fn stop_by(&self, by: time::Duration) {
         mutex::lock(&self.inner.board).stop_by(by);
     }
 
-    /// Gives up and answers whatever hasn't ended.
+    /// Gives up all jobs that haven't ended, and answers their callers.
     pub fn give_up_all(&self) {
         mutex::lock(&self.inner.board).give_up_all(clock::since_boot());
         perform_actions(&self.inner);
     }
 
-    /// Says which failure domains operators have evacuated. Agents hear of a change at once.
+    /// Updates the evacuated failure domains from a reading of the store. All agents are told of a
+    /// change at once.
     pub fn update_evacuations(&self, reading: &StoreReading) {
         let mut evacuations = mutex::lock(&self.inner.evacuations);
         if !evacuations.update(reading) {
@@ -192,34 +195,35 @@
         }
     }
 
-    /// Counts since the start.
+    /// Returns what the entry has counted since its start.
     pub fn counts(&self) -> Counts {
         mutex::lock(&self.inner.board).counts.clone()
     }
 
-    /// What is known of the agents, in numbers.
+    /// Returns the numbers of agents by state, for the metrics page.
     pub fn membership(&self) -> Membership {
         mutex::lock(&self.inner.board).membership(clock::since_boot())
     }
 
-    /// Whether agents are linked, and none is expected any more after the start.
+    /// Whether an agent is linked and no more agents are expected to connect after the entry's
+    /// start.
     pub fn has_found_agents(&self) -> bool {
         self.linked_agents() > 0
             && mutex::lock(&self.inner.board).has_found_agents(clock::since_boot())
     }
 
-    /// Agents that are wanted and have been out of reach for so long.
-    pub fn agents_unreachable_for(&self, long: time::Duration) -> Vec<id::AgentId> {
-        mutex::lock(&self.inner.board).agents_unreachable_for(clock::since_boot(), long)
+    /// Returns the agents that should be linked but have been unreachable for at least `min_duration`.
+    pub fn agents_unreachable_for(&self, min_duration: time::Duration) -> Vec<id::AgentId> {
+        mutex::lock(&self.inner.board).agents_unreachable_for(clock::since_boot(), min_duration)
     }
 
-    /// Agents that are linked.
+    /// Returns the number of links that are up.
     pub fn linked_agents(&self) -> usize {
         mutex::lock(&self.inner.links).len()
     }
 }
 
-/// Tells the board when a caller has left before its job ended.
+/// Reports to the board when a caller's future is dropped before its job has ended.
 struct CallerGuard {
     inner: Arc<Inner>,
     no: JobNo,
@@ -264,13 +268,14 @@
     }
 }
 
-/// Has a heartbeat leave on every link at once, and the agents answer them at once: an entry with 68
-/// agents then wakes up some ten times a heartbeat, not twice for each agent. Wake-ups are most of
-/// what a link without work costs a thin entry (docs/MEASUREMENTS.md).
+/// Sends a heartbeat on all links at the same time, so that the agents answer at the same time: an
+/// entry with 68 agents then wakes up about ten times per heartbeat instead of twice for each
+/// agent. Wake-ups are most of the cost of an idle link to an entry with little processor time
+/// (docs/MEASUREMENTS.md).
 fn send_heartbeats(inner: &Inner, now: time::Duration) {
     for link in mutex::lock(&inner.links).values() {
-        let written = *mutex::lock(&link.written_at);
-        if now.saturating_sub(written)
+        let written_at = *mutex::lock(&link.written_at);
+        if now.saturating_sub(written_at)
             >= inner.cfg.bounds.heartbeat.mul_f64(RECENT_WRITE_HEARTBEATS)
         {
             link.wake.notify_one();
@@ -278,9 +283,9 @@
     }
 }
 
-/// Does what the board has decided.
+/// Carries out the actions that the board has decided.
 fn perform_actions(inner: &Arc<Inner>) {
-    let (actions, wants) = {
+    let (actions, work) = {
         let mut board = mutex::lock(&inner.board);
         (board.take_actions(), board.waiting_work())
     };
@@ -300,12 +305,12 @@
             Action::Answer(no, outcome) => answer_callers(inner, no, &outcome),
         }
     }
-    let mut waits = mutex::lock(&inner.demand);
-    waits.waiting_work = wants;
-    if let Some(wants) = wants {
-        for link in waits
+    let mut demand = mutex::lock(&inner.demand);
+    demand.waiting_work = work;
+    if let Some(work) = work {
+        for link in demand
             .room_requests
-            .links_to_ask(clock::since_boot(), wants.priority, &links)
+            .links_to_ask(clock::since_boot(), work.priority, &links)
         {
             if let Some(link) = links.get(&link) {
                 link.wake.notify_one();
@@ -322,15 +327,15 @@
 }
 
 fn apply_link_change(inner: &Arc<Inner>, change: LinkChange) {
-    let mut kept = mutex::lock(&inner.link_stops);
+    let mut link_stops = mutex::lock(&inner.link_stops);
     match change {
         LinkChange::Open(agent, addr) => {
             let (tx, rx) = oneshot::channel();
             tokio::spawn(maintain_link(inner.clone(), agent.clone(), addr, rx));
-            kept.insert(agent, tx);
+            link_stops.insert(agent, tx);
         }
         LinkChange::Close(agent) => {
-            kept.remove(&agent);
+            link_stops.remove(&agent);
         }
     }
 }
--- a/src/besteffort/line.rs
+++ b/src/besteffort/line.rs
@@ -1,4 +1,5 @@
-//! JSON lines over TCP, read and written with bounds.
+//! JSON lines over TCP: one message a line, with bounds on the length of a line and the time of a
+//! write.
 
 use std::io;
 use std::time;
@@ -12,28 +13,28 @@
 
 use crate::decide::besteffort::message::MAX_MESSAGE_BYTES;
 
-/// Longest that a write may take: a peer that doesn't read for so long counts as gone.
+/// Timeout of a write. A peer that reads nothing for so long counts as gone.
 const WRITE_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 
-/// The reading side.
+/// Reads messages from a connection.
 #[derive(Debug)]
 pub struct Reader {
     inner: BufReader<OwnedReadHalf>,
     buf: Vec<u8>,
 }
 
-/// The writing side.
+/// Writes messages to a connection.
 #[derive(Debug)]
 pub struct Writer {
     inner: OwnedWriteHalf,
     buf: Vec<u8>,
 }
 
-/// Splits a connection into its two sides.
+/// Splits a connection into a reader and a writer, and turns off the delay of small writes.
 ///
 /// # Errors
 ///
-/// Returns what the socket says where it can't be set to send at once.
+/// Returns the error of the socket if the delay can't be turned off.
 pub fn open(stream: TcpStream) -> io::Result<(Reader, Writer)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
@@ -49,12 +50,13 @@
 }
 
 impl Reader {
-    /// Reads one line. Cancelling it in the middle of a line keeps what was read.
+    /// Reads one message. If the future is dropped in the middle of a line, what was read is kept
+    /// for the next call.
     ///
     /// # Errors
     ///
-    /// Fails at the end of the connection, on a line over [`MAX_MESSAGE_BYTES`] and on one that isn't what is
-    /// expected.
+    /// Fails at the end of the connection, on a line longer than [`MAX_MESSAGE_BYTES`], and on a
+    /// line that isn't valid JSON of the expected type.
     pub async fn read<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         loop {
             if self.buf.last() == Some(&b'\n') {
@@ -64,10 +66,13 @@
             }
             let left = (MAX_MESSAGE_BYTES - self.buf.len().min(MAX_MESSAGE_BYTES)) as u64;
             if left == 0 {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "line too long"));
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "message line is too long",
+                ));
             }
-            let mut part = (&mut self.inner).take(left);
-            if part.read_until(b'\n', &mut self.buf).await? == 0 {
+            let mut bounded = (&mut self.inner).take(left);
+            if bounded.read_until(b'\n', &mut self.buf).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
@@ -75,14 +80,14 @@
 }
 
 impl Writer {
-    /// Writes one line.
+    /// Writes one message.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is gone or the peer doesn't read.
-    pub async fn write<T: Serialize>(&mut self, line: &T) -> io::Result<()> {
+    /// Fails if the connection is gone or the peer doesn't read.
+    pub async fn write<T: Serialize>(&mut self, message: &T) -> io::Result<()> {
         self.buf.clear();
-        serde_json::to_writer(&mut self.buf, line)?;
+        serde_json::to_writer(&mut self.buf, message)?;
         self.buf.push(b'\n');
         match timeout(WRITE_TIMEOUT, self.inner.write_all(&self.buf)).await {
             Ok(result) => result,
