--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -1,4 +1,4 @@
-//! What a cell's owner wants done; the daemon does it, in order.
+//! The actions that a cell's owner returns; the daemon carries them out in order.
 
 use std::sync::Arc;
 
@@ -7,33 +7,34 @@
 use crate::id;
 use crate::submission;
 
-/// Numbers someone who waits for a job's ending; the daemon knows who it is.
+/// Identifies a caller that waits for a job's ending; the daemon maps it to the caller.
 pub type WaiterId = u64;
 
-/// One thing to be done.
+/// One action for the daemon.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send an order to an agent.
     Order(id::AgentId, order::Order),
-    /// Write a claim to the table, and report back with `claimed` or `claim_refused`.
+    /// Write a claim to the table, then call the owner's `claimed` or `claim_refused`.
     Claim(Claim),
-    /// Tell a waiter how its job ended.
+    /// Send a waiter the ending of its job.
     Reply(WaiterId, Arc<submission::Ending>),
-    /// Record where the time went of something that is over and belongs to a trace.
+    /// Record the times of a task or job that ended and belongs to a trace.
     Record(timing::Timing),
 }
 
-/// A claim: the submission with this key has been accepted by the owner.
+/// A claim states that the owner has accepted the submission with this key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Claim {
-    /// The scoped key.
+    /// The job's key, with its client account as a prefix.
     pub key: id::JobKey,
-    /// Digest of the body.
+    /// Digest of the submission's body.
     pub digest: u64,
-    /// How many tasks it has.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// True where nothing may start before the claim is in the table.
+    /// True if no task may start before the claim is in the table.
     pub blocks_starts: bool,
-    /// When the submission was accepted, in milliseconds since the Unix epoch, by the owner's clock.
+    /// When the submission was accepted, in milliseconds since the Unix epoch, by the owner's
+    /// clock.
     pub at_ms: u64,
 }
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -1,12 +1,13 @@
-//! A budget of operations: a token bucket whose debts are paid by waiting.
+//! A rate limit for operations of one kind: a token bucket in which a caller waits for a missing
+//! token.
 //!
-//! The platform serves several hundred writes and about 2,000 reads a second for everything. Each
-//! process has a share, so that no fault of one of them can take the platform from the others.
-//! `docs/design/messages.md` adds the shares up.
+//! The platform serves several hundred writes and about 2,000 reads a second for all processes
+//! together. Each process has a share, so that a faulty one can't use up what the others need.
+//! `docs/design/messages.md` adds up the shares.
 
 use std::time;
 
-/// What a process may ask of the platform.
+/// How many operations a second a process may request of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Reads a second, of table and object store together.
@@ -22,40 +23,42 @@
     writes: 60.0,
 };
 
-/// Seconds for which an unused budget is saved up.
-const SAVED: f64 = 1.0;
+/// How long, in seconds, an unused budget accumulates.
+const MAX_SAVED_SECONDS: f64 = 1.0;
 
-/// The budget of one kind of operation.
+/// The token bucket of one kind of operation.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: f64,
     tokens: f64,
-    at: time::Instant,
+    refilled_at: time::Instant,
 }
 
 impl Budget {
-    /// Opens a full budget of `rate` operations a second.
+    /// Creates a full budget of `rate` operations a second.
     pub fn open(now: time::Instant, rate: f64) -> Budget {
         Budget {
             rate,
-            tokens: rate * SAVED,
-            at: now,
+            tokens: rate * MAX_SAVED_SECONDS,
+            refilled_at: now,
         }
     }
 
-    /// Books one operation. Returns how long it has to wait, or nothing where that is more than
-    /// `patience` and nothing was booked.
+    /// Reserves one operation and returns how long the caller has to wait before it. If that is
+    /// more than `max_wait`, reserves nothing and returns `None`.
     pub fn reserve(
         &mut self,
         now: time::Instant,
-        patience: time::Duration,
+        max_wait: time::Duration,
     ) -> Option<time::Duration> {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.rate * SAVED);
-        self.at = self.at.max(now);
+        let passed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.tokens = (self.tokens + passed * self.rate).min(self.rate * MAX_SAVED_SECONDS);
+        self.refilled_at = self.refilled_at.max(now);
         let debt = (1.0 - self.tokens).max(0.0);
         let wait = time::Duration::from_secs_f64(debt / self.rate);
-        if wait > patience {
+        if wait > max_wait {
             return None;
         }
         self.tokens -= 1.0;
--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -1,22 +1,22 @@
-//! The configuration in force in one process: it only ever moves forward.
+//! The configuration in force in one process; its version never decreases.
 
 use std::sync::Arc;
 
 use crate::class;
 use crate::id;
 
-/// Holds the newest configuration that this process has read.
+/// The newest configuration that this process has read, and the newest version that others have.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
     newest: Option<Arc<class::Versioned>>,
-    heard: id::Version,
+    remote_version: id::Version,
 }
 
 impl Current {
-    /// Takes a configuration that was read; tells whether it is news.
+    /// Puts a configuration that was read into force if it is newer. Returns whether it is.
     ///
-    /// Guards against a slow read that overtakes a quick one: an older version never comes back
-    /// into force.
+    /// A slow read may finish after a later, quicker one; the check keeps its older version from
+    /// coming back into force.
     pub fn accept(&mut self, read: class::Versioned) -> bool {
         if read.version <= self.version() {
             return false;
@@ -25,27 +25,28 @@
         true
     }
 
-    /// Notes a version that another process says is in force.
+    /// Records a version that another process says it has in force.
     pub fn record_remote_version(&mut self, version: id::Version) {
-        self.heard = self.heard.max(version);
+        self.remote_version = self.remote_version.max(version);
     }
 
-    /// Tells whether another process has a newer version, so that reading now is worth a message.
+    /// Returns whether another process has a newer version, so that a read now is worth its
+    /// message.
     pub fn is_behind(&self) -> bool {
-        self.heard > self.version()
+        self.remote_version > self.version()
     }
 
-    /// The newest version that was read or heard of.
+    /// Returns the newest version that this process has read or another one has announced.
     pub fn newest_known(&self) -> id::Version {
-        self.heard.max(self.version())
+        self.remote_version.max(self.version())
     }
 
-    /// The version in force; 0 before any was read.
+    /// Returns the version in force; 0 before any was read.
     pub fn version(&self) -> id::Version {
         self.newest.as_ref().map_or(0, |v| v.version)
     }
 
-    /// The configuration in force, or none before any was read.
+    /// Returns the configuration in force, or `None` before any was read.
     pub fn get(&self) -> Option<Arc<class::Versioned>> {
         self.newest.clone()
     }
--- a/src/decide/delivery.rs
+++ b/src/decide/delivery.rs
@@ -1,13 +1,13 @@
-//! Whether what one side of a link sends still arrives.
+//! Detects that messages sent on a link no longer arrive at the other side.
 //!
-//! Guards against a connection that has gone silent in one direction only: heartbeats keep coming,
-//! so the link looks alive, while everything sent on it vanishes. Each side's messages carry how
-//! many messages of the link it has received, so the sender sees that its own stay out.
+//! A connection may fail in one direction only: heartbeats still arrive, so the link looks alive,
+//! while everything sent on it is lost. Each side's messages carry the number of messages that it
+//! has received on the link, so the sender sees which of its own are unconfirmed.
 
 use std::collections::VecDeque;
 use std::time;
 
-/// The messages of one link that the other side hasn't confirmed.
+/// The messages sent on one link that the other side hasn't confirmed, by time of sending.
 #[derive(Clone, Debug, Default)]
 pub struct Delivery {
     sent: u64,
@@ -16,13 +16,13 @@
 }
 
 impl Delivery {
-    /// Notes that a message leaves.
+    /// Records that a message is sent.
     pub fn record_sent(&mut self, now: time::Instant) {
         self.sent += 1;
         self.pending.push_back(now);
     }
 
-    /// Notes that the other side has received `count` messages of this link.
+    /// Records that the other side has received `count` messages on this link in all.
     pub fn confirm(&mut self, count: u64) {
         let count = count.clamp(self.received, self.sent);
         let confirmed = (count - self.received) as usize;
@@ -30,7 +30,7 @@
         self.received = count;
     }
 
-    /// Tells whether the oldest message that isn't confirmed has been out for longer than `limit`.
+    /// Returns whether the oldest unconfirmed message was sent more than `limit` ago.
     pub fn is_stuck(&self, now: time::Instant, limit: time::Duration) -> bool {
         let oldest = self.pending.front();
         oldest.is_some_and(|at| now.saturating_duration_since(*at) > limit)
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,8 +1,8 @@
-//! Where to: the agents of one cell, what each has free, and which one takes the next task.
+//! The agents of one cell: what each has free, and which one gets the next task.
 //!
-//! The owner is the only one that starts tasks on its cell's agents, so its own count of what it
-//! sent is exact and no load has to be asked for. `docs/design/placement.md` compares this with
-//! the baselines.
+//! Only the owner starts tasks on its cell's agents, so its own count of the tasks that it sent is
+//! exact, and it need not ask agents for their load. `docs/design/placement.md` compares the
+//! default placement with the baselines.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time;
@@ -16,7 +16,8 @@
 use crate::id;
 use crate::task;
 
-/// How an agent is chosen; the baselines stay runnable beside the chosen policy.
+/// How an agent is chosen for a task. The baselines remain available for comparison with the
+/// default.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Placement {
@@ -25,50 +26,51 @@
     MostFree,
     /// Baseline: any agent with a free slot.
     Random,
-    /// Baseline: the less loaded of two drawn at random.
+    /// Baseline: of two agents with a free slot, drawn at random, the one with more free slots.
     LeastOfTwo,
 }
 
-/// Shapes of needs for which the agents with room are kept listed; for others they are searched.
-const MAX_SHAPES: usize = 32;
+/// Most different needs for which the fleet keeps an index of the agents with room.
+const MAX_INDEXED_NEEDS: usize = 32;
 
-/// For how long the capacity of a worker that is gone is remembered.
+/// How long the fleet remembers the capacity of a worker that has left.
 pub const CAPACITY_RETENTION: time::Duration = time::Duration::from_secs(600);
 
-/// Most capacities that are remembered.
+/// Most different capacities that are remembered.
 const MAX_CAPACITIES: usize = 1_000;
 
-/// Whether an agent can be used.
+/// Whether an agent can be sent tasks.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     /// Its link is up.
     Up,
-    /// Its link is gone; nobody knows yet whether the agent is.
+    /// Its link has ended; the agent itself may still run.
     Silent,
 }
 
-/// One agent as its owner sees it.
+/// One agent as the owner of its cell sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Agent {
-    /// The life that the link belongs to.
+    /// The incarnation of the agent to which the link belongs.
     pub incarnation: id::Incarnation,
-    /// Its failure domain.
+    /// The agent's failure domain.
     pub failure_domain: CompactString,
-    /// Its rack.
+    /// The agent's rack.
     pub rack: CompactString,
-    /// Whether it can be used.
+    /// Whether the agent can be sent tasks.
     pub state: State,
     /// When the state last changed.
     #[serde(skip)]
     pub since: time::Instant,
-    /// What it last said of itself.
+    /// The load that the agent last reported.
     pub load: notice::Load,
-    /// Tasks that were sent and have no answer.
+    /// Number of tasks that were sent to it and have no answer.
     pub sent: u32,
-    /// What those take.
+    /// Resources that those tasks take.
     pub taken: task::Needs,
-    /// Tasks that its health allows at a time; not shown where it sets no limit.
+    /// Number of tasks that its health allows at a time; left out of the status if there is no
+    /// limit.
     #[serde(skip_serializing_if = "is_unlimited")]
     pub limit: u32,
 }
@@ -78,58 +80,58 @@
 }
 
 impl Agent {
-    /// Slots that are free.
+    /// Returns the number of slots that may be used and are free.
     pub fn free_slots(&self) -> u32 {
-        self.slots().saturating_sub(self.sent)
+        self.usable_slots().saturating_sub(self.sent)
     }
 
-    /// Slots that may be used.
-    fn slots(&self) -> u32 {
+    /// Returns the number of slots that may be used, free or not.
+    fn usable_slots(&self) -> u32 {
         if self.state != State::Up || self.load.draining {
             return 0;
         }
         self.load.slots.min(self.limit)
     }
 
-    /// Tells whether a task fits now.
+    /// Returns whether a task with these needs can start now.
     fn fits(&self, needs: &task::Needs) -> bool {
-        self.free_slots() > 0 && (*needs == task::Needs::default() || needs.fit(&self.left()))
+        self.free_slots() > 0 && (*needs == task::Needs::default() || needs.fit(&self.remaining()))
     }
 
-    /// What is left for the needs of tasks.
-    fn left(&self) -> task::Needs {
+    /// Returns the resources that no task takes.
+    fn remaining(&self) -> task::Needs {
         let mut left = self.load.capacity;
         left.sub(&self.taken);
         left
     }
 }
 
-/// How many agents have a capacity, and when one was last seen.
+/// How many agents have a certain capacity, and when one joined or left last.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct CapacityRecord {
     present: u32,
     last: time::Instant,
 }
 
-/// What the fleet counts of an agent, to be undone when the agent changes.
+/// An agent's part in the fleet's totals, which an update replaces.
 #[derive(Clone, Copy)]
-struct Counted {
+struct SlotCounts {
     free: u32,
     slots: u32,
 }
 
-impl Seen {
-    /// Tells whether work may still be kept for such an agent.
-    fn counts(&self, now: time::Instant) -> bool {
+impl CapacityRecord {
+    /// Returns whether tasks that need such an agent may wait for one.
+    fn is_remembered(&self, now: time::Instant) -> bool {
         self.present > 0 || now.saturating_duration_since(self.last) < CAPACITY_RETENTION
     }
 }
 
-impl Counted {
-    fn of(agent: &Agent) -> Counted {
-        Counted {
+impl SlotCounts {
+    fn of(agent: &Agent) -> SlotCounts {
+        SlotCounts {
             free: agent.free_slots(),
-            slots: agent.slots(),
+            slots: agent.usable_slots(),
         }
     }
 }
@@ -139,22 +141,23 @@
 pub struct Fleet {
     placement: Placement,
     agents: BTreeMap<id::AgentId, Agent>,
-    /// Agents with room for a shape of needs, by free slots.
-    rooms: HashMap<task::Needs, BTreeSet<(u32, id::AgentId)>>,
+    /// For some needs, the agents that have room for such a task, by free slots.
+    agents_with_room: HashMap<task::Needs, BTreeSet<(u32, id::AgentId)>>,
+    /// Silent agents, by the time since which they are.
     silent: BTreeSet<(time::Instant, id::AgentId)>,
-    capacities: HashMap<task::Needs, Seen>,
+    capacities: HashMap<task::Needs, CapacityRecord>,
     free_slots: u32,
     slots: u32,
     rng: SmallRng,
 }
 
 impl Fleet {
-    /// Opens an empty fleet; the seed serves the baselines that draw at random.
+    /// Creates an empty fleet; the seed is for the baselines that choose at random.
     pub fn open(placement: Placement, seed: u64) -> Fleet {
         Fleet {
             placement,
             agents: BTreeMap::new(),
-            rooms: HashMap::from([(task::Needs::default(), BTreeSet::new())]),
+            agents_with_room: HashMap::from([(task::Needs::default(), BTreeSet::new())]),
             silent: BTreeSet::new(),
             capacities: HashMap::new(),
             free_slots: 0,
@@ -163,12 +166,12 @@
         }
     }
 
-    /// The agents by id.
+    /// Returns the agents by id.
     pub fn agents(&self) -> &BTreeMap<id::AgentId, Agent> {
         &self.agents
     }
 
-    /// One agent.
+    /// Returns one agent, if it is known.
     pub fn get(&self, id: &str) -> Option<&Agent> {
         self.agents.get(id)
     }
@@ -176,10 +179,10 @@
     /// Adds or replaces an agent.
     pub fn insert(&mut self, now: time::Instant, id: id::AgentId, agent: Agent) {
         self.remove(now, &id);
-        self.came(now, agent.load.capacity);
-        self.slots += agent.slots();
+        self.record_arrival(now, agent.load.capacity);
+        self.slots += agent.usable_slots();
         self.free_slots += agent.free_slots();
-        for (needs, room) in &mut self.rooms {
+        for (needs, room) in &mut self.agents_with_room {
             if agent.fits(needs) {
                 room.insert((agent.free_slots(), id.clone()));
             }
@@ -190,49 +193,49 @@
         self.agents.insert(id, agent);
     }
 
-    /// Forgets an agent, but for what it was able to take.
+    /// Removes an agent. Its capacity is remembered for [`CAPACITY_RETENTION`].
     pub fn remove(&mut self, now: time::Instant, id: &id::AgentId) -> Option<Agent> {
         let agent = self.agents.remove(id)?;
-        self.left(now, &agent.load.capacity);
-        self.slots -= agent.slots();
+        self.record_departure(now, &agent.load.capacity);
+        self.slots -= agent.usable_slots();
         self.free_slots -= agent.free_slots();
         let entry = (agent.free_slots(), id.clone());
-        for room in self.rooms.values_mut() {
+        for room in self.agents_with_room.values_mut() {
             room.remove(&entry);
         }
         self.silent.remove(&(agent.since, id.clone()));
         Some(agent)
     }
 
-    /// Takes an agent's load.
+    /// Sets the load that an agent reported.
     pub fn set_load(&mut self, now: time::Instant, id: &id::AgentId, load: notice::Load) {
         let known = self.agents.get(id).map(|agent| agent.load);
-        let same = |known: notice::Load| notice::Load {
+        let with_running = |known: notice::Load| notice::Load {
             running: load.running,
             ..known
         };
-        if known.map(same) == Some(load) {
-            // How many run is for people to see; nothing here depends on it.
+        if known.map(with_running) == Some(load) {
+            // The number of running tasks is only shown in the status; no decision depends on it.
             if let Some(agent) = self.agents.get_mut(id) {
                 agent.load = load;
             }
             return;
         }
         if let Some(known) = known.filter(|known| known.capacity != load.capacity) {
-            self.left(now, &known.capacity);
-            self.came(now, load.capacity);
+            self.record_departure(now, &known.capacity);
+            self.record_arrival(now, load.capacity);
         }
         self.update(id, |agent| agent.load = load);
     }
 
-    /// Sets how many tasks an agent's health allows at a time.
+    /// Sets the number of tasks that an agent's health allows at a time.
     pub fn set_limit(&mut self, id: &id::AgentId, limit: u32) {
         if self.agents.get(id).is_some_and(|a| a.limit != limit) {
             self.update(id, |agent| agent.limit = limit);
         }
     }
 
-    /// Notes that an agent's link is gone.
+    /// Marks an agent as silent since its link has ended.
     pub fn mark_silent(&mut self, now: time::Instant, id: &id::AgentId) {
         if self.agents.get(id).is_none_or(|a| a.state == State::Silent) {
             return;
@@ -244,13 +247,13 @@
         self.silent.insert((now, id.clone()));
     }
 
-    /// An agent that has been silent since `before` or earlier.
+    /// Returns an agent that has been silent since `before` or earlier, if there is one.
     pub fn silent_since(&self, before: time::Instant) -> Option<id::AgentId> {
         let (since, id) = self.silent.first()?;
         (*since <= before).then(|| id.clone())
     }
 
-    /// Books a task on an agent.
+    /// Reserves a slot and resources of an agent for a task that is sent to it.
     pub fn reserve(&mut self, id: &id::AgentId, needs: &task::Needs) {
         self.update(id, |agent| {
             agent.sent += 1;
@@ -258,7 +261,7 @@
         });
     }
 
-    /// Gives back what a task took.
+    /// Releases the slot and resources of a task.
     pub fn release(&mut self, id: &id::AgentId, needs: &task::Needs) {
         self.update(id, |agent| {
             agent.sent = agent.sent.saturating_sub(1);
@@ -266,60 +269,64 @@
         });
     }
 
-    /// Free slots in all.
+    /// Returns the number of free slots of all agents.
     pub fn free_slots(&self) -> u32 {
         self.free_slots
     }
 
-    /// Slots in all, of agents that can be used.
+    /// Returns the number of slots of all agents that can be sent tasks.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Tells whether some agent, once empty, could take a task; one that is gone for a short
-    /// while counts as well.
+    /// Returns whether some agent, when it runs nothing, could run a task with these needs. Agents
+    /// that left less than [`CAPACITY_RETENTION`] ago count too.
     pub fn could_ever_run(&self, now: time::Instant, needs: &task::Needs) -> bool {
         if *needs == task::Needs::default() || self.capacities.is_empty() {
             return true;
         }
         let mut seen = self.capacities.iter();
-        seen.any(|(capacity, seen)| needs.fit(capacity) && seen.counts(now))
+        seen.any(|(capacity, seen)| needs.fit(capacity) && seen.is_remembered(now))
     }
 
-    /// Keeps the agents with room for such needs listed from now on.
+    /// Keeps an index of the agents with room for these needs from now on.
     pub fn index_needs(&mut self, needs: &task::Needs) {
-        if self.rooms.contains_key(needs) {
+        if self.agents_with_room.contains_key(needs) {
             return;
         }
-        if self.rooms.len() >= MAX_SHAPES {
-            self.rooms.retain(|n, _| *n == task::Needs::default());
+        if self.agents_with_room.len() >= MAX_INDEXED_NEEDS {
+            self.agents_with_room
+                .retain(|n, _| *n == task::Needs::default());
         }
         let fitting = self.agents.iter().filter(|(_, agent)| agent.fits(needs));
         let room = fitting.map(|(id, agent)| (agent.free_slots(), id.clone()));
         let room = room.collect();
-        self.rooms.insert(*needs, room);
+        self.agents_with_room.insert(*needs, room);
     }
 
-    /// Tells whether some agent has room for a task now.
+    /// Returns whether some agent has room for a task with these needs now.
     pub fn has_room(&self, needs: &task::Needs) -> bool {
-        match self.rooms.get(needs) {
+        match self.agents_with_room.get(needs) {
             Some(room) => !room.is_empty(),
             None => self.agents.values().any(|agent| agent.fits(needs)),
         }
     }
 
-    /// Chooses the agent for a task, if one has room.
+    /// Chooses the agent for a task; `None` if no agent has room.
     pub fn choose(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
         self.index_needs(needs);
         match self.placement {
-            Placement::MostFree => self.rooms[needs].last().map(|(_, id)| id.clone()),
-            Placement::Random => self.draw(needs),
-            Placement::LeastOfTwo => self.least_of_two(needs),
+            Placement::MostFree => self.agents_with_room[needs]
+                .last()
+                .map(|(_, id)| id.clone()),
+            Placement::Random => self.draw_agent(needs),
+            Placement::LeastOfTwo => self.less_loaded_of_two(needs),
         }
     }
 
-    fn draw(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
-        let fitting = &self.rooms[needs];
+    /// Returns an agent with room, drawn at random. The needs must be indexed.
+    fn draw_agent(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
+        let fitting = &self.agents_with_room[needs];
         if fitting.is_empty() {
             return None;
         }
@@ -327,9 +334,10 @@
         fitting.iter().nth(at).map(|(_, id)| id.clone())
     }
 
-    fn least_of_two(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
-        let a = self.draw(needs)?;
-        let b = self.draw(needs)?;
+    /// Draws two agents with room at random and returns the one with more free slots.
+    fn less_loaded_of_two(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
+        let a = self.draw_agent(needs)?;
+        let b = self.draw_agent(needs)?;
         let less = if self.agents[&a].free_slots() >= self.agents[&b].free_slots() {
             a
         } else {
@@ -338,19 +346,19 @@
         Some(less)
     }
 
-    /// Changes an agent and keeps the books right.
+    /// Changes an agent and updates the totals and indexes that depend on it.
     fn update(&mut self, id: &id::AgentId, change: impl FnOnce(&mut Agent)) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        let before = Counted::of(agent);
+        let before = SlotCounts::of(agent);
         change(agent);
-        let after = Counted::of(agent);
+        let after = SlotCounts::of(agent);
         self.slots = self.slots - before.slots + after.slots;
         self.free_slots = self.free_slots - before.free + after.free;
         let old = (before.free, id.clone());
         let new = (after.free, id.clone());
-        for (needs, room) in &mut self.rooms {
+        for (needs, room) in &mut self.agents_with_room {
             let fits = agent.fits(needs);
             if before.free == after.free && *needs == task::Needs::default() {
                 continue;
@@ -362,11 +370,12 @@
         }
     }
 
-    fn came(&mut self, now: time::Instant, capacity: task::Needs) {
+    /// Counts an agent that now has a capacity.
+    fn record_arrival(&mut self, now: time::Instant, capacity: task::Needs) {
         if self.capacities.len() >= MAX_CAPACITIES {
-            self.capacities.retain(|_, seen| seen.counts(now));
+            self.capacities.retain(|_, seen| seen.is_remembered(now));
         }
-        let first = Seen {
+        let first = CapacityRecord {
             present: 0,
             last: now,
         };
@@ -375,7 +384,8 @@
         seen.last = now;
     }
 
-    fn left(&mut self, now: time::Instant, capacity: &task::Needs) {
+    /// Counts an agent that no longer has a capacity.
+    fn record_departure(&mut self, now: time::Instant, capacity: &task::Needs) {
         if let Some(seen) = self.capacities.get_mut(capacity) {
             seen.present = seen.present.saturating_sub(1);
             seen.last = now;
--- a/src/decide/head.rs
+++ b/src/decide/head.rs
@@ -1,40 +1,43 @@
-//! When a process reads the small rows that everybody watches, and when hearing of them is enough.
+//! Decides when a process reads the small rows that all processes watch (those under `head/` in the
+//! store), and when another process's read makes its own unnecessary.
 //!
-//! Owners read the rows at a steady pace and their messages to other entries carry a digest of
-//! what they read and its age. An entry that hears the digest which it has itself needs no read of
-//! its own; it reads at once where a fresher digest differs, and at its own pace where nothing
-//! fresh is heard. `docs/design/membership.md` has the bounds that follow.
+//! Owners read the rows at a fixed interval. Their messages to other entries carry a digest of the
+//! rows and the age of that read. An entry that receives a digest equal to its own needs no read;
+//! it reads at once if a newer digest differs, and at its own interval if it receives no recent
+//! digest. `docs/design/membership.md` has the resulting bounds.
 
 use std::time;
 
-/// Pause between reads of an owner, on whose reads others rely.
+/// Interval between reads of an owner; other processes rely on its reads.
 pub const OWNER_READ_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// Age of the freshest news after which any process reads for itself.
+/// Age of the newest confirmation of the rows after which a process that owns no cell reads them.
 pub const MAX_CONFIRMATION_AGE: time::Duration = time::Duration::from_secs(3);
 
-/// Stands for the rows and their revisions, in 53 bits.
+/// Digest of the rows and their revisions, in 53 bits.
 pub type Digest = u64;
 
-/// What one process knows of the watched rows.
+/// What one process knows of the watched rows: their digest and when it was last confirmed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchState {
     digest: Digest,
+    /// When this process's newest read began.
     read_at: Option<time::Instant>,
-    fresh_at: Option<time::Instant>,
+    /// When the newest read by any process began that gave this digest.
+    confirmed_at: Option<time::Instant>,
 }
 
 impl WatchState {
-    /// Notes a read that began at `begun`; tells whether the rows have changed.
+    /// Records a read that began at `begun`. Returns whether the rows have changed.
     pub fn record_read(&mut self, begun: time::Instant, digest: Digest) -> bool {
         let changed = self.read_at.is_none() || self.digest != digest;
         self.digest = digest;
         self.read_at = Some(begun);
-        self.fresh_at = self.fresh_at.max(Some(begun));
+        self.confirmed_at = self.confirmed_at.max(Some(begun));
         changed
     }
 
-    /// Notes what another process read `age` ago; tells whether to read at once.
+    /// Records a digest that another process read `age` ago. Returns whether to read at once.
     pub fn record_remote_read(
         &mut self,
         now: time::Instant,
@@ -43,25 +46,26 @@
     ) -> bool {
         let read_at = now.checked_sub(age);
         if self.read_at.is_some() && digest == self.digest {
-            self.fresh_at = self.fresh_at.max(read_at);
+            self.confirmed_at = self.confirmed_at.max(read_at);
             return false;
         }
-        // An older digest that differs is only what this process knew before.
-        read_at > self.fresh_at
+        // A digest that differs but is older than this process's own gives no reason to read.
+        read_at > self.confirmed_at
     }
 
-    /// What this process may tell others: its digest and the age of the newest proof of it.
+    /// Returns what this process may send to others: its digest and the age of its newest
+    /// confirmation.
     pub fn known_digest(&self, now: time::Instant) -> Option<(Digest, time::Duration)> {
-        let fresh_at = self.fresh_at?;
-        Some((self.digest, now.saturating_duration_since(fresh_at)))
+        let confirmed_at = self.confirmed_at?;
+        Some((self.digest, now.saturating_duration_since(confirmed_at)))
     }
 
-    /// Time until the next read is due.
+    /// Returns the time until the next read is due; `owns` is whether this process owns a cell.
     pub fn next_read_in(&self, now: time::Instant, owns: bool) -> time::Duration {
         let (since, pause) = if owns {
             (self.read_at, OWNER_READ_INTERVAL)
         } else {
-            (self.fresh_at, MAX_CONFIRMATION_AGE)
+            (self.confirmed_at, MAX_CONFIRMATION_AGE)
         };
         since.map_or(time::Duration::ZERO, |since| {
             (since + pause).saturating_duration_since(now)
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -1,10 +1,11 @@
-//! Which workers are sick, judged against their peers, and how they come back.
+//! Detects failing and slow workers by comparison with their peers, bars them from work, and lets
+//! them return.
 //!
-//! A worker that fails everything at once looks idle and draws ever more work. The feedback is
-//! the one that "A Grid of Grids using Condor-G" (Walker and others, 2006) names against such black
-//! holes: the outcome of the work itself, not a probe, decides where more work is sent. Here it
-//! sets how many tasks may be at risk at a time: one after a first failure, none after a second,
-//! and later one real task again. `docs/design/health.md` has the figures.
+//! A worker that fails every task at once always has free slots, so it would get ever more work. As
+//! "A Grid of Grids using Condor-G" (Walker and others, 2006) proposes against such black holes,
+//! the outcomes of real work, not of probes, decide where more work is sent. They set a limit on
+//! how many tasks a worker may have at a time: one after a first failure, none after a second, and
+//! later one real task again. `docs/design/health.md` has the figures.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time;
@@ -12,146 +13,168 @@
 use crate::id;
 
 /// Failures in a row after which a worker is barred.
-const STREAK: u32 = 2;
+const MAX_FAILURES_IN_A_ROW: u32 = 2;
 
-/// Share of failures, against the peers' own, that bars a worker whose failures are scattered.
-const FAILING: f64 = 0.3;
+/// Share of failures above which a worker is barred though its failures aren't in a row.
+const MAX_FAILURE_SHARE: f64 = 0.3;
 
-/// How many times more than its peers such a worker must fail.
-const WORSE: f64 = 3.0;
+/// Ratio to the peers' share of failures which such a worker's share must also exceed.
+const MIN_RATIO_TO_PEERS: f64 = 3.0;
 
-/// Outcomes that are needed before shares are compared.
-const ENOUGH: f64 = 6.0;
+/// Least weighted number of outcomes for which a share of failures is computed.
+const MIN_OUTCOMES: f64 = 6.0;
 
-/// Weight that an outcome loses with each one that follows.
-const KEEP: f64 = 0.9;
+/// Factor by which the weight of an outcome decreases with each later one.
+const OUTCOME_DECAY: f64 = 0.9;
 
-/// How many times slower than its peers a worker is when it is barred.
-const SLOW: f64 = 2.5;
+/// Ratio to its peers' slowness above which a worker is barred.
+const SLOW_RATIO: f64 = 2.5;
 
-/// How many times slower a task of a worker that comes back may be.
-const SLOW_PROBE: f64 = 4.0;
+/// The same ratio for a single task of a returning worker, or one that was stopped.
+const SLOW_TASK_RATIO: f64 = 4.0;
 
-/// Standard errors by which it must differ, so that forecasts which scatter bar nobody.
-const CERTAIN: f64 = 4.5;
+/// Least standard errors by which a barred worker must differ from its peers, so that inexact
+/// estimates bar none.
+const SLOW_STANDARD_ERRORS: f64 = 4.5;
 
-/// The same for one task that was stopped.
-const OVERDUE: f64 = 3.5;
+/// Least standard deviations by which a stopped task must differ.
+const OVERDUE_DEVIATIONS: f64 = 3.5;
 
-/// Shortest run of such a task that tells against its worker.
-const MIN_OVERDUE: time::Duration = time::Duration::from_secs(2);
+/// A task that was stopped earlier than this doesn't count against its worker.
+const MIN_OVERDUE_RUN: time::Duration = time::Duration::from_secs(2);
 
-/// Weight of a new run time.
-const GAIN: f64 = 0.1;
+/// Least weight of a new run time in a worker's mean slowness; the first ones weigh `1 / n`.
+const MIN_RUN_WEIGHT: f64 = 0.1;
 
-/// Run times that are needed before a worker counts as slow.
-const ENOUGH_RUNS: u32 = 10;
+/// Least number of run times before a worker may be barred as slow.
+const MIN_RUNS: u32 = 10;
 
-/// For how long a worker is barred first; doubled each time up to the maximum.
-const MIN_BAR: time::Duration = time::Duration::from_secs(1);
-const MAX_BAR: time::Duration = time::Duration::from_secs(60);
+/// How long a worker is barred the first time; each further bar lasts twice as long.
+const MIN_BAR_TIME: time::Duration = time::Duration::from_secs(1);
+/// Longest time for which a worker is barred.
+const MAX_BAR_TIME: time::Duration = time::Duration::from_secs(60);
 
-/// Tasks at a time beyond which a worker that comes back counts as well.
-const WELL: u32 = 64;
+/// Limit of tasks at a time from which a returning worker counts as healthy again.
+const HEALTHY_LIMIT: u32 = 64;
 
-/// Share of the workers that may be barred at a time. Where more look sick, the cause lies
-/// elsewhere, and barring them would only take away what is left.
-const MAX_BARRED: f64 = 0.5;
+/// Largest share of the workers that may be barred at a time. If more seem to fail, the cause is
+/// probably not the workers, and barring them would only reduce the remaining capacity.
+const MAX_BARRED_SHARE: f64 = 0.5;
 
-/// Most client accounts whose failures are told apart from the workers'.
+/// Most client accounts for which failures are counted.
 const MAX_ACCOUNTS: usize = 10_000;
 
-/// How a task ended at a worker, as far as it tells of the worker.
+/// How a task ended at a worker, as far as it says something about the worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It was done; how long it ran and was thought to run.
+    /// It succeeded; its run time and its estimated run time.
     Done(time::Duration, time::Duration),
     /// It failed.
     Failed,
-    /// It was stopped; how long it had run and was thought to run.
+    /// It was stopped; how long it had run, and its estimated run time.
     Stopped(time::Duration, time::Duration),
-    /// The worker turned it away though it had room.
+    /// The worker refused it although it had a free slot.
     Refused,
 }
 
-/// What is known of one worker.
+/// The outcomes of one worker, and its limit.
 #[derive(Clone, Debug)]
-struct Record {
+struct WorkerRecord {
+    /// Most tasks at a time; `u32::MAX` for a healthy worker.
     limit: u32,
-    streak: u32,
-    good: f64,
-    bad: f64,
-    /// Mean logarithm of the run time over the estimate.
-    pace: f64,
+    /// Failures since the last success.
+    failures_in_a_row: u32,
+    /// Weighted number of successes.
+    successes: f64,
+    /// Weighted number of failures.
+    failures: f64,
+    /// Mean logarithm of the ratio of run time to estimate.
+    log_slowness: f64,
+    /// Run times in that mean.
     runs: u32,
-    barred: u32,
-    until: Option<time::Instant>,
+    /// Bars since the worker last counted as recovered.
+    bars_in_a_row: u32,
+    /// When its bar ends; `None` if it isn't barred.
+    barred_until: Option<time::Instant>,
 }
 
-impl Record {
-    fn open() -> Record {
-        Record {
+impl WorkerRecord {
+    fn open() -> WorkerRecord {
+        WorkerRecord {
             limit: u32::MAX,
-            streak: 0,
-            good: 0.0,
-            bad: 0.0,
-            pace: 0.0,
+            failures_in_a_row: 0,
+            successes: 0.0,
+            failures: 0.0,
+            log_slowness: 0.0,
             runs: 0,
-            barred: 0,
-            until: None,
+            bars_in_a_row: 0,
+            barred_until: None,
         }
     }
 
-    fn count(&mut self, good: f64, bad: f64) {
-        self.good = self.good * KEEP + good;
-        self.bad = self.bad * KEEP + bad;
+    /// Adds an outcome; one of `good` and `bad` is 1, the other 0.
+    fn add_outcome(&mut self, successes: f64, failures: f64) {
+        self.successes = self.successes * OUTCOME_DECAY + successes;
+        self.failures = self.failures * OUTCOME_DECAY + failures;
     }
 }
 
-/// Failures and successes, faded by count.
+/// Weighted numbers of successes and failures; the weight of an outcome decreases with later ones.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
-    good: f64,
-    bad: f64,
+struct FailureShare {
+    successes: f64,
+    failures: f64,
 }
 
-impl Share {
-    fn count(&mut self, failed: bool, keep: f64) {
-        self.good = self.good * keep + f64::from(u8::from(!failed));
-        self.bad = self.bad * keep + f64::from(u8::from(failed));
+impl FailureShare {
+    /// Adds an outcome, and multiplies the weights of earlier ones by `keep`.
+    fn add_outcome(&mut self, failed: bool, decay: f64) {
+        self.successes = self.successes * decay + f64::from(u8::from(!failed));
+        self.failures = self.failures * decay + f64::from(u8::from(failed));
     }
 
-    fn failing(&self) -> f64 {
-        self.bad / (self.good + self.bad).max(1.0)
+    /// Returns the share of failures.
+    fn failure_share(&self) -> f64 {
+        self.failures / (self.successes + self.failures).max(1.0)
     }
 }
 
 /// The health of a cell's workers.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    records: HashMap<id::AgentId, Record>,
-    client_accounts: HashMap<id::ClientAccount, Share>,
-    peers: Share,
-    peers_pace: f64,
+    /// Workers with any outcome.
+    records: HashMap<id::AgentId, WorkerRecord>,
+    client_accounts: HashMap<id::ClientAccount, FailureShare>,
+    /// Outcomes of all workers.
+    peers: FailureShare,
+    /// Mean logarithm of the ratio of run time to estimate, over all workers.
+    peers_log_slowness: f64,
+    /// Variance of that logarithm.
     peers_variance: f64,
     peers_runs: u32,
+    /// Barred workers, by the end of their bars.
     bars: BTreeSet<(time::Instant, id::AgentId)>,
 }
 
 impl Health {
-    /// Forgets a worker's record, since another life of it has begun or it is gone.
+    /// Forgets a worker's record, since it has a new incarnation or has left.
     pub fn forget(&mut self, agent: &id::AgentId) {
-        if let Some(until) = self.records.remove(agent).and_then(|record| record.until) {
-            self.bars.remove(&(until, agent.clone()));
+        if let Some(barred_until) = self
+            .records
+            .remove(agent)
+            .and_then(|record| record.barred_until)
+        {
+            self.bars.remove(&(barred_until, agent.clone()));
         }
     }
 
-    /// How many tasks may be at risk on a worker at a time.
+    /// Returns how many tasks a worker may have at a time; `u32::MAX` if there is no limit.
     pub fn limit(&self, agent: &id::AgentId) -> u32 {
         self.records.get(agent).map_or(u32::MAX, |r| r.limit)
     }
 
-    /// Takes an outcome, of `workers` in all. Returns how many tasks may now be at risk.
+    /// Records an outcome of one of `workers` workers in all. Returns how many tasks it may have at
+    /// a time now.
     pub fn observe(
         &mut self,
         now: time::Instant,
@@ -161,44 +184,52 @@
         workers: usize,
     ) -> u32 {
         if !self.records.contains_key(agent) {
-            self.records.insert(agent.clone(), Record::open());
+            self.records.insert(agent.clone(), WorkerRecord::open());
         }
         match outcome {
-            Outcome::Done(ran, estimate) => self.done(now, agent, account, ran, estimate, workers),
+            Outcome::Done(ran, estimate) => {
+                self.record_success(now, agent, account, ran, estimate, workers)
+            }
             Outcome::Stopped(ran, estimate) if !self.is_overdue(ran, estimate) => {}
             Outcome::Failed | Outcome::Stopped(..) => {
-                if !self.is_accounts_fault(agent, account) {
-                    self.failed(now, agent, workers);
+                if !self.attribute_to_account(agent, account) {
+                    self.record_failure(now, agent, workers);
                 }
             }
-            Outcome::Refused => self.failed(now, agent, workers),
+            Outcome::Refused => self.record_failure(now, agent, workers),
         }
         self.limit(agent)
     }
 
-    /// Workers whose bar ends: each may have one task at risk.
+    /// Ends the bars that are due by `now`. Returns their workers; each may have one task at a
+    /// time.
     pub fn end_due_bars(&mut self, now: time::Instant) -> Vec<id::AgentId> {
-        let mut back = Vec::new();
-        while self.bars.first().is_some_and(|(until, _)| *until <= now) {
+        let mut returned = Vec::new();
+        while self
+            .bars
+            .first()
+            .is_some_and(|(barred_until, _)| *barred_until <= now)
+        {
             let Some((_, agent)) = self.bars.pop_first() else {
                 break;
             };
             if let Some(record) = self.records.get_mut(&agent) {
-                record.until = None;
+                record.barred_until = None;
                 record.limit = 1;
-                record.streak = STREAK - 1;
+                record.failures_in_a_row = MAX_FAILURES_IN_A_ROW - 1;
             }
-            back.push(agent);
+            returned.push(agent);
         }
-        back
+        returned
     }
 
-    /// Workers that are barred now.
+    /// Returns the number of workers that are barred now.
     pub fn barred_count(&self) -> usize {
         self.bars.len()
     }
 
-    fn done(
+    /// Records a success of a worker.
+    fn record_success(
         &mut self,
         now: time::Instant,
         agent: &id::AgentId,
@@ -207,105 +238,126 @@
         estimate: time::Duration,
         workers: usize,
     ) {
-        self.peers.count(false, 0.999);
+        self.peers.add_outcome(false, 0.999);
         if let Some(share) = self.client_accounts.get_mut(account) {
-            share.count(false, KEEP);
+            share.add_outcome(false, OUTCOME_DECAY);
         }
-        let pace = pace(ran, estimate);
-        // Both means span the same time, so that forecasts which are off for everybody cancel out.
+        let log_slowness = log_slowness(ran, estimate);
+        // Both means cover about the same time, so that estimates which are wrong for all workers
+        // cancel out.
         self.peers_runs = self.peers_runs.saturating_add(1);
-        let gain = (GAIN / workers.max(1) as f64).max(1.0 / f64::from(self.peers_runs));
-        self.peers_pace += gain * (pace - self.peers_pace);
-        let error = pace - self.peers_pace;
+        let gain = (MIN_RUN_WEIGHT / workers.max(1) as f64).max(1.0 / f64::from(self.peers_runs));
+        self.peers_log_slowness += gain * (log_slowness - self.peers_log_slowness);
+        let error = log_slowness - self.peers_log_slowness;
         self.peers_variance += gain * (error * error - self.peers_variance);
-        let (peers, spread) = (self.peers_pace, self.peers_variance.sqrt());
-        let record = self.records.get_mut(agent).expect("it was just added");
-        if record.until.is_some() {
-            // It began before the worker was barred, and tells nothing of the time since.
+        let (peers, spread) = (self.peers_log_slowness, self.peers_variance.sqrt());
+        let record = self
+            .records
+            .get_mut(agent)
+            .expect("a worker with an outcome has a record");
+        if record.barred_until.is_some() {
+            // The task began before the worker was barred, so it says nothing about the time since.
             return;
         }
-        record.count(1.0, 0.0);
-        record.streak = 0;
+        record.add_outcome(1.0, 0.0);
+        record.failures_in_a_row = 0;
         record.runs += 1;
-        record.pace += GAIN.max(1.0 / f64::from(record.runs)) * (pace - record.pace);
-        let returning = record.limit < WELL;
-        let runs = f64::from(record.runs).min(2.0 / GAIN - 1.0);
-        let slow = SLOW.ln().max(CERTAIN * spread / runs.sqrt());
-        let slow_probe = SLOW_PROBE.ln().max(CERTAIN * spread);
-        let is_slow = record.runs >= ENOUGH_RUNS && record.pace - peers > slow;
-        if is_slow || (returning && record.barred > 0 && pace - peers > slow_probe) {
+        record.log_slowness +=
+            MIN_RUN_WEIGHT.max(1.0 / f64::from(record.runs)) * (log_slowness - record.log_slowness);
+        let returning = record.limit < HEALTHY_LIMIT;
+        let runs = f64::from(record.runs).min(2.0 / MIN_RUN_WEIGHT - 1.0);
+        let slow_limit = SLOW_RATIO
+            .ln()
+            .max(SLOW_STANDARD_ERRORS * spread / runs.sqrt());
+        let slow_task_limit = SLOW_TASK_RATIO.ln().max(SLOW_STANDARD_ERRORS * spread);
+        let is_slow = record.runs >= MIN_RUNS && record.log_slowness - peers > slow_limit;
+        if is_slow
+            || (returning && record.bars_in_a_row > 0 && log_slowness - peers > slow_task_limit)
+        {
             self.bar(now, agent, workers);
             return;
         }
         if returning {
             record.limit = record.limit.saturating_mul(2);
         }
-        if record.limit >= WELL {
+        if record.limit >= HEALTHY_LIMIT {
             record.limit = u32::MAX;
         }
-        if record.runs >= 4 * WELL {
-            record.barred = 0;
+        if record.runs >= 4 * HEALTHY_LIMIT {
+            record.bars_in_a_row = 0;
         }
     }
 
-    /// Tells whether a task that was stopped should have ended long before.
+    /// Returns whether a task that was stopped should have ended long before.
     fn is_overdue(&self, ran: time::Duration, estimate: time::Duration) -> bool {
-        let least = SLOW_PROBE.ln().max(OVERDUE * self.peers_variance.sqrt());
-        ran >= MIN_OVERDUE && pace(ran, estimate) - self.peers_pace > least
+        let least = SLOW_TASK_RATIO
+            .ln()
+            .max(OVERDUE_DEVIATIONS * self.peers_variance.sqrt());
+        ran >= MIN_OVERDUE_RUN && log_slowness(ran, estimate) - self.peers_log_slowness > least
     }
 
-    fn failed(&mut self, now: time::Instant, agent: &id::AgentId, workers: usize) {
-        let peers = self.peers.failing();
-        let record = self.records.get_mut(agent).expect("it was just added");
-        if record.until.is_some() {
+    /// Records a failure of a worker, and bars it if there are too many.
+    fn record_failure(&mut self, now: time::Instant, agent: &id::AgentId, workers: usize) {
+        let peers = self.peers.failure_share();
+        let record = self
+            .records
+            .get_mut(agent)
+            .expect("a worker with an outcome has a record");
+        if record.barred_until.is_some() {
             return;
         }
-        record.count(0.0, 1.0);
-        record.streak += 1;
+        record.add_outcome(0.0, 1.0);
+        record.failures_in_a_row += 1;
         record.limit = 1;
-        let share = record.bad / (record.good + record.bad);
-        let scattered =
-            record.good + record.bad >= ENOUGH && share > FAILING && share > WORSE * peers;
-        if record.streak >= STREAK || scattered {
+        let share = record.failures / (record.successes + record.failures);
+        let scattered = record.successes + record.failures >= MIN_OUTCOMES
+            && share > MAX_FAILURE_SHARE
+            && share > MIN_RATIO_TO_PEERS * peers;
+        if record.failures_in_a_row >= MAX_FAILURES_IN_A_ROW || scattered {
             self.bar(now, agent, workers);
         }
     }
 
+    /// Bars a worker, unless too many are barred already.
     fn bar(&mut self, now: time::Instant, agent: &id::AgentId, workers: usize) {
-        if (self.bars.len() + 1) as f64 > (MAX_BARRED * workers as f64).max(1.0) {
+        if (self.bars.len() + 1) as f64 > (MAX_BARRED_SHARE * workers as f64).max(1.0) {
             return;
         }
-        let record = self.records.get_mut(agent).expect("it is on record");
-        let time = MIN_BAR.saturating_mul(1 << record.barred.min(10));
-        let until = now + time.min(MAX_BAR);
-        record.barred += 1;
+        let record = self
+            .records
+            .get_mut(agent)
+            .expect("a barred worker has a record");
+        let time = MIN_BAR_TIME.saturating_mul(1 << record.bars_in_a_row.min(10));
+        let barred_until = now + time.min(MAX_BAR_TIME);
+        record.bars_in_a_row += 1;
         record.limit = 0;
-        record.until = Some(until);
+        record.barred_until = Some(barred_until);
         record.runs = 0;
-        record.pace = 0.0;
-        record.good = 0.0;
-        record.bad = 0.0;
-        self.bars.insert((until, agent.clone()));
+        record.log_slowness = 0.0;
+        record.successes = 0.0;
+        record.failures = 0.0;
+        self.bars.insert((barred_until, agent.clone()));
     }
 
-    /// Tells whether a failure is more likely the client account's own: its tasks fail on workers that
-    /// are well for others. Without this one client account's broken input would bar all workers.
-    fn is_accounts_fault(&mut self, agent: &id::AgentId, account: &id::ClientAccount) -> bool {
-        let suspect = self.records[agent].limit < WELL;
+    /// Counts a failure for its client account. Returns whether the client account is the likelier
+    /// cause, since its tasks fail on workers that are healthy for others. Without this, broken
+    /// input of one client account would bar all workers.
+    fn attribute_to_account(&mut self, agent: &id::AgentId, account: &id::ClientAccount) -> bool {
+        let suspect = self.records[agent].limit < HEALTHY_LIMIT;
         if self.client_accounts.len() >= MAX_ACCOUNTS {
             self.client_accounts.clear();
         }
         let share = self.client_accounts.entry(account.clone()).or_default();
-        let fault = share.bad >= 3.0 && share.failing() > 0.5;
+        let fault = share.failures >= 3.0 && share.failure_share() > 0.5;
         if !suspect {
-            share.count(true, KEEP);
-            self.peers.count(true, 0.999);
+            share.add_outcome(true, OUTCOME_DECAY);
+            self.peers.add_outcome(true, 0.999);
         }
         fault
     }
 }
 
-/// Logarithm of the run time over the forecast.
-fn pace(ran: time::Duration, estimate: time::Duration) -> f64 {
+/// Returns the logarithm of the ratio of run time to estimate.
+fn log_slowness(ran: time::Duration, estimate: time::Duration) -> f64 {
     (ran.as_secs_f64().max(1e-3) / estimate.as_secs_f64().max(1e-3)).ln()
 }
--- a/src/decide/inherit.rs
+++ b/src/decide/inherit.rs
@@ -1,8 +1,9 @@
-//! What a new owner of a cell knows of its predecessors' work, and what it may conclude.
+//! What a new owner of a cell knows of the work of earlier owners, and which tasks it may start.
 //!
-//! The order is fixed (`docs/design/claims.md`): the epoch is raised in the table, then the members
-//! are read, then every member is fenced and reports, and the claims are read. Only then is a
-//! submission looked up here, and a task is started only where it provably never was.
+//! The order of steps is fixed (`docs/design/claims.md`): the new owner raises the epoch in the
+//! table, then reads the members, then every member raises its fence and reports, and the owner
+//! reads the claims. Only then does it look up submissions here, and it starts only tasks that
+//! provably never started.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time;
@@ -14,33 +15,35 @@
 use crate::id;
 use crate::task;
 
-/// How long a new owner waits for members that don't answer its fence.
+/// How long a new owner waits for the reports of members.
 pub const REPORT_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
 
-/// For how long after its last sight of the table an owner may start ahead of its claims.
+/// How long after the last proof of its ownership in the table an owner may start tasks before
+/// their claim is written.
 pub const TABLE_CONTACT_WINDOW: time::Duration = time::Duration::from_secs(2);
 
-/// Most that two clocks of the system's processes may differ; machines that keep time over the
-/// network differ by a few milliseconds. After a takeover with an agent missing, new work stays
-/// doubtful for [`TABLE_CONTACT_WINDOW`] and twice this, so a generous bound costs answers.
+/// Most by which the clocks of two processes of the system may differ; machines that synchronize
+/// their clocks over the network differ by a few milliseconds. If an agent is missing at a
+/// takeover, new work is answered as "may have run" for [`TABLE_CONTACT_WINDOW`] plus twice this,
+/// so a larger bound costs answers.
 pub const CLOCK_SKEW: time::Duration = time::Duration::from_millis(500);
 
-/// A claim as it stands in the table.
+/// A claim as it is stored in the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredClaim {
-    /// The scoped key.
+    /// The job's key, with its client account as a prefix.
     pub key: id::JobKey,
-    /// Digest of the body.
+    /// Digest of the submission's body.
     pub digest: u64,
-    /// How many tasks it has.
+    /// Number of tasks of the job.
     pub tasks: u32,
-    /// When the submission was accepted, in milliseconds since the Unix epoch, by the claimant's
-    /// clock; nothing of it started earlier.
+    /// When the submission was accepted, in milliseconds since the Unix epoch, by the clock of the
+    /// owner that claimed it; none of its tasks started earlier.
     pub at_ms: u64,
 }
 
 impl StoredClaim {
-    /// The row's part that a claim becomes.
+    /// Returns the part of a claim that is stored.
     pub fn of(claim: &action::Claim) -> StoredClaim {
         StoredClaim {
             key: claim.key.clone(),
@@ -51,144 +54,159 @@
     }
 }
 
-/// A life of an agent as the membership rows tell.
+/// An incarnation of an agent, as in the membership rows.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct AgentIncarnation {
-    /// The agent.
+    /// The agent's id.
     pub agent: id::AgentId,
-    /// Its life.
+    /// Which process of the agent it is.
     pub incarnation: id::Incarnation,
 }
 
-/// A life that ended; what it started nobody can tell any more.
+/// An incarnation of an agent that ended; there is no record any more of what it started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LostIncarnation {
-    /// The life.
+    /// The incarnation that ended.
     pub incarnation: id::Incarnation,
     /// When its loss was recorded, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// True where it left as planned, after the claims of all that it started were in the table.
+    /// True if it left in order, after the claims of all that it started were in the table.
     #[serde(default)]
     pub claimed: bool,
 }
 
-/// Tasks of one job, with the life that remembers each and how it stands there.
+/// The tasks of one job of which agents have records: by index the incarnation and the task's state
+/// there.
 pub type RememberedTasks = BTreeMap<id::TaskIndex, (AgentIncarnation, ledger::TaskState)>;
 
-/// What was found out about a submission's key.
+/// What a new owner knows of a submission's key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Found {
-    /// Provably new.
+    /// No task of it can have started.
     Fresh,
-    /// An earlier owner accepted it: where its tasks are, and whether the others may be started.
+    /// An earlier owner accepted it.
     Known {
-        /// Tasks that some agent remembers.
+        /// The tasks of which some agent has a record.
         tasks: RememberedTasks,
-        /// True where tasks that no agent remembers provably never started.
+        /// True if the other tasks provably never started.
         rest_startable: bool,
     },
-    /// It may have run where nobody can look any more.
+    /// It may have run on an agent whose records are lost.
     MayHaveRun,
-    /// The key belongs to another body.
+    /// The key was used for a submission with another body.
     Reused,
 }
 
-/// The knowledge of one new owner.
+/// What one new owner knows of the work of earlier owners.
 #[derive(Clone, Debug)]
 pub struct Inheritance {
+    /// When the epoch was written, since the Unix epoch.
     taken_at: time::Duration,
-    doubt_until: time::Duration,
-    give_up: time::Instant,
+    /// Until when an earlier owner may have started work without a claim, since the Unix epoch.
+    unclaimed_starts_until: time::Duration,
+    /// When the owner stops waiting for reports.
+    report_deadline: time::Instant,
+    /// Members that haven't reported; `None` until the members were read.
     awaited: Option<BTreeSet<AgentIncarnation>>,
+    /// The recently lost incarnations: when the loss was recorded, since the Unix epoch, and
+    /// whether all their starts are claimed.
     lost: Vec<(time::Duration, bool)>,
+    /// The claims of earlier owners; `None` until they were read.
     claims: Option<HashMap<id::JobKey, StoredClaim>>,
-    seen: HashMap<id::JobKey, RememberedTasks>,
+    /// The tasks that agents reported, by job.
+    reported: HashMap<id::JobKey, RememberedTasks>,
 }
 
 impl Inheritance {
-    /// Opens the books of an owner whose epoch was written at `wall` since the Unix epoch.
+    /// Creates the knowledge of an owner whose epoch was written at `wall` since the Unix epoch.
     pub fn open(now: time::Instant, wall: time::Duration) -> Inheritance {
         Inheritance {
             taken_at: wall,
-            doubt_until: wall + TABLE_CONTACT_WINDOW,
-            give_up: now + REPORT_TIMEOUT,
+            unclaimed_starts_until: wall + TABLE_CONTACT_WINDOW,
+            report_deadline: now + REPORT_TIMEOUT,
             awaited: None,
             lost: Vec::new(),
             claims: None,
-            seen: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
-    /// Notes until when the owner before may have started work ahead of its claims, where that is
-    /// known better than by [`TABLE_CONTACT_WINDOW`] after the takeover.
+    /// Sets until when, since the Unix epoch, the previous owner may have started work without a
+    /// claim. The default is [`TABLE_CONTACT_WINDOW`] after the takeover.
     pub fn set_unclaimed_starts_until(&mut self, wall: time::Duration) {
-        self.doubt_until = wall;
+        self.unclaimed_starts_until = wall;
     }
 
-    /// Takes the members, read after the epoch was raised, and the lives that were lost before.
+    /// Sets the members, read after the epoch was raised, and the incarnations that were lost
+    /// before.
     pub fn set_members(
         &mut self,
         now: time::Instant,
-        lives: impl IntoIterator<Item = AgentIncarnation>,
+        members: impl IntoIterator<Item = AgentIncarnation>,
         lost: &[LostIncarnation],
     ) {
-        self.awaited = Some(lives.into_iter().collect());
-        self.give_up = now + REPORT_TIMEOUT;
-        let recent = |life: &LostIncarnation| {
-            let at = time::Duration::from_millis(life.at_ms);
-            (at + ledger::RETENTION > self.taken_at).then_some((at, life.claimed))
+        self.awaited = Some(members.into_iter().collect());
+        self.report_deadline = now + REPORT_TIMEOUT;
+        let recent = |loss: &LostIncarnation| {
+            let at = time::Duration::from_millis(loss.at_ms);
+            (at + ledger::RETENTION > self.taken_at).then_some((at, loss.claimed))
         };
         self.lost = lost.iter().filter_map(recent).collect();
     }
 
-    /// Takes the claims, read after the epoch was raised.
+    /// Sets the claims, read after the epoch was raised.
     pub fn set_claims(&mut self, claims: impl IntoIterator<Item = StoredClaim>) {
         let by_key = claims.into_iter().map(|claim| (claim.key.clone(), claim));
         self.claims = Some(by_key.collect());
     }
 
-    /// Takes the report of an agent that has raised its fence.
-    pub fn add_report(&mut self, life: &AgentIncarnation, tasks: &[(task::Id, ledger::TaskState)]) {
-        for (id, standing) in tasks {
-            if *standing == ledger::TaskState::Withdrawn {
+    /// Adds the report of an agent that has raised its fence.
+    pub fn add_report(
+        &mut self,
+        member: &AgentIncarnation,
+        tasks: &[(task::Id, ledger::TaskState)],
+    ) {
+        for (id, state) in tasks {
+            if *state == ledger::TaskState::Withdrawn {
                 continue;
             }
-            let job = self.seen.entry(id.job.clone()).or_default();
-            job.insert(id.index, (life.clone(), *standing));
+            let job = self.reported.entry(id.job.clone()).or_default();
+            job.insert(id.index, (member.clone(), *state));
         }
         if let Some(awaited) = &mut self.awaited {
-            awaited.remove(life);
+            awaited.remove(member);
         }
     }
 
-    /// Tells whether submissions can be looked up.
+    /// Returns whether submissions can be looked up.
     pub fn is_ready(&self, now: time::Instant) -> bool {
         let Some(awaited) = &self.awaited else {
             return false;
         };
-        self.claims.is_some() && (awaited.is_empty() || now >= self.give_up)
+        self.claims.is_some() && (awaited.is_empty() || now >= self.report_deadline)
     }
 
-    /// Tells whether an earlier owner's claim or an agent's report names a key.
+    /// Returns whether a claim of an earlier owner or a report of an agent names a key.
     pub fn knows_key(&self, key: &id::JobKey) -> bool {
         let claimed = self.claims.as_ref();
-        claimed.is_some_and(|claims| claims.contains_key(key)) || self.seen.contains_key(key)
+        claimed.is_some_and(|claims| claims.contains_key(key)) || self.reported.contains_key(key)
     }
 
-    /// Members that have not reported.
+    /// Returns the number of members that have not reported.
     pub fn unreported_members(&self) -> usize {
         self.awaited.as_ref().map_or(0, BTreeSet::len)
     }
 
-    /// Tells what is known of a key. `minted` is the time of first use that the key itself tells.
+    /// Returns what is known of a key. `minted` is the time of creation that the key itself
+    /// contains, since the Unix epoch.
     pub fn look_up(&self, key: &id::JobKey, digest: u64, minted: Option<time::Duration>) -> Found {
         let claim = self.claims.as_ref().and_then(|claims| claims.get(key));
-        let seen = self.seen.get(key);
+        let reported = self.reported.get(key);
         if claim.is_some_and(|claim| claim.digest != digest) {
             return Found::Reused;
         }
-        if claim.is_none() && seen.is_none() {
-            return if self.may_be_unwritten(minted) {
+        if claim.is_none() && reported.is_none() {
+            return if self.may_have_started_unclaimed(minted) {
                 Found::MayHaveRun
             } else {
                 Found::Fresh
@@ -196,24 +214,25 @@
         }
         let claimed_at = claim.map(|claim| time::Duration::from_millis(claim.at_ms));
         Found::Known {
-            tasks: seen.cloned().unwrap_or_default(),
-            rest_startable: !self.may_be_lost(claimed_at),
+            tasks: reported.cloned().unwrap_or_default(),
+            rest_startable: !self.may_have_run_on_lost_agent(claimed_at),
         }
     }
 
-    /// Tells whether a key without a claim may have been started by an owner before.
+    /// Returns whether an earlier owner may have started a key without a claim.
     ///
-    /// An owner starts ahead of the claim only keys that were minted at most [`TABLE_CONTACT_WINDOW`] after
-    /// its last sight of the table, which came before this takeover, and before the end of every
-    /// life that it used. So a key that was minted long enough after its sight ended can't have
-    /// been, nor one that is younger than every life which can't report. Nothing here depends on
-    /// the caller's clock: the key is compared with the clocks of entries and agents alone, on both
-    /// sides, and those are taken to agree within [`CLOCK_SKEW`].
-    fn may_be_unwritten(&self, minted: Option<time::Duration>) -> bool {
+    /// An owner starts a key before its claim is written only if the key was minted at most
+    /// [`TABLE_CONTACT_WINDOW`] after the owner's last proof of ownership. That proof came before
+    /// this takeover, and before the end of every incarnation of an agent that the owner used. So a
+    /// key can't have been started if it was minted long enough after the last time at which the
+    /// earlier owner may have started work, or if it is younger than the end of every incarnation
+    /// that can't report. None of this depends on the caller's clock: both owners compare the key
+    /// with the clocks of entries and agents only, and those differ by at most [`CLOCK_SKEW`].
+    fn may_have_started_unclaimed(&self, minted: Option<time::Duration>) -> bool {
         let Some(minted) = minted else {
             return false;
         };
-        if minted >= self.doubt_until + 2 * CLOCK_SKEW {
+        if minted >= self.unclaimed_starts_until + 2 * CLOCK_SKEW {
             return false;
         }
         let unreachable = (self.unreported_members() > 0).then_some(self.taken_at);
@@ -223,8 +242,9 @@
         ends.any(|end| minted < end + slack)
     }
 
-    /// Tells whether a task of a claim made at that time may have run on a life that is lost.
-    fn may_be_lost(&self, claimed_at: Option<time::Duration>) -> bool {
+    /// Returns whether a task of a job that was claimed at `claimed_at` may have run on a lost or
+    /// missing incarnation of an agent.
+    fn may_have_run_on_lost_agent(&self, claimed_at: Option<time::Duration>) -> bool {
         let since = claimed_at.unwrap_or_default();
         self.unreported_members() > 0 || self.lost.iter().any(|(at, _)| *at + CLOCK_SKEW > since)
     }
--- a/src/decide/job.rs
+++ b/src/decide/job.rs
@@ -1,4 +1,4 @@
-//! One job at its owner: where each of its tasks stands and how the job ends.
+//! One job at its owner: the progress of each of its tasks, and how the job ends.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,41 +13,41 @@
 use crate::refusal;
 use crate::submission;
 
-/// Where one task stands.
+/// The progress of one task.
 #[derive(Clone, Debug)]
 pub enum Progress {
-    /// It waits in the queue, or for its claim.
+    /// It waits in the queue, or for the job's claim to be written.
     Waiting,
-    /// It was sent to an agent and may run.
+    /// Its start was sent to an agent, so it may run.
     Sent {
-        /// The agent.
+        /// The agent to which it was sent.
         agent: id::AgentId,
-        /// The number of the start.
+        /// Number of this start among the starts of the job's tasks in this epoch.
         attempt: u32,
-        /// When it was sent.
+        /// When the start was sent.
         at: time::Instant,
-        /// When it had begun to wait for a slot.
+        /// When it began to wait for a slot.
         queued: time::Instant,
-        /// Slot time that was booked for it.
+        /// Estimated run time that was charged to its client account.
         estimate: time::Duration,
     },
-    /// It was sent by an owner of the past to an agent that remembers it.
+    /// An earlier owner sent it to an agent, and that agent still has a record of it.
     Inherited {
-        /// The agent.
+        /// The agent that has the record.
         agent: id::AgentId,
     },
-    /// Its answer is here.
+    /// Its answer has arrived.
     Done(Box<RawValue>),
-    /// It won't be run or awaited any more.
+    /// It will not be started, and its answer is no longer awaited.
     Dropped,
 }
 
-/// How far the claim of a job has come.
+/// The state of a job's claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimState {
-    /// Nothing may start before it is written.
+    /// It is being written, and no task may start before it is in the table.
     Awaited,
-    /// It is being written while tasks start.
+    /// It is being written while tasks may already start.
     InFlight,
     /// It is in the table.
     Written,
@@ -56,30 +56,30 @@
 /// A job at its owner.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What was asked for.
+    /// What the caller submitted.
     pub submission: Arc<submission::Submission>,
-    /// When its answer becomes worthless.
+    /// When the class target passes; an answer after it is of no use to the caller.
     pub deadline: time::Instant,
-    /// Who waits for its ending.
+    /// Callers that wait for the job's ending.
     pub waiters: Vec<action::WaiterId>,
-    /// Its tasks, by index.
+    /// Progress of the tasks, by index.
     pub tasks: Vec<Progress>,
-    /// Tasks without an answer.
+    /// Number of tasks without an answer.
     pub unanswered: usize,
-    /// Its claim.
+    /// Whether the job's claim is in the table, and whether tasks wait for it.
     pub claim: ClaimState,
-    /// Starts that were sent in this epoch.
+    /// Number of starts that were sent for its tasks in this epoch.
     pub attempts: u32,
-    /// Agents that were sent any of its tasks.
+    /// Agents to which any of its tasks was sent.
     pub agents: BTreeSet<id::AgentId>,
-    /// Where its time went so far.
+    /// Timestamps for the job's trace.
     pub timestamps: timing::Timestamps,
-    /// How it ended, once it has.
+    /// How the job ended; `None` while it hasn't.
     pub ending: Option<Arc<submission::Ending>>,
 }
 
 impl Job {
-    /// Opens a job of which nothing was started.
+    /// Creates a job of which no task was started.
     pub fn open(
         submission: Arc<submission::Submission>,
         now: time::Instant,
@@ -101,8 +101,9 @@
         }
     }
 
-    /// Drops the tasks and their inputs of a complete job. All of them have come back, so nobody asks
-    /// for one by its index again; what resubmissions need is the key, the digest and the ending.
+    /// Drops the tasks and inputs of a complete job to free their memory. All tasks have answered,
+    /// so none is looked up by its index again; resubmissions need only the key, the digest and the
+    /// ending.
     pub fn release_inputs(&mut self) {
         let whole = &self.submission;
         self.submission = Arc::new(submission::Submission {
@@ -120,14 +121,14 @@
         self.tasks = Vec::new();
     }
 
-    /// Tells whether any task was ever handed to an agent that didn't refuse it.
+    /// Returns whether any task was sent to an agent that hasn't refused it.
     pub fn may_have_run(&self) -> bool {
         self.tasks
             .iter()
             .any(|task| !matches!(task, Progress::Waiting | Progress::Dropped))
     }
 
-    /// Agents that have tasks of the job without an answer.
+    /// Returns the agents that have tasks of the job and haven't answered them.
     pub fn agents_holding_tasks(&self) -> BTreeSet<id::AgentId> {
         let holder = |task: &Progress| match task {
             Progress::Sent { agent, .. } | Progress::Inherited { agent } => Some(agent.clone()),
@@ -136,7 +137,7 @@
         self.tasks.iter().filter_map(holder).collect()
     }
 
-    /// Bytes of the inputs and of the ending that the job keeps.
+    /// Returns the size of the inputs and the ending that the job keeps, in bytes.
     pub fn kept_bytes(&self) -> usize {
         let inputs = self.submission.job.tasks.iter();
         let inputs: usize = inputs.map(|task| task.input.get().len()).sum();
@@ -149,7 +150,7 @@
         inputs + answers
     }
 
-    /// The complete answer, once every task has one.
+    /// Returns the job's complete ending once every task has an answer.
     pub fn complete_answer(&self) -> Option<submission::Ending> {
         if self.unanswered > 0 {
             return None;
@@ -162,15 +163,16 @@
         answers.map(submission::Ending::Complete)
     }
 
-    /// The refusal with which the job fails for a reason, honest about what may have run.
+    /// Returns the refusal with which the job fails for a reason. Its code says "not run" only if
+    /// no task can have run.
     ///
-    /// A cancelled job is never said not to have run: nothing that outlives this owner tells of the
-    /// cancellation, and a submission that is made again through a successor still runs.
+    /// A cancelled job is never reported as not run: the cancellation is recorded at this owner
+    /// only, and the same submission, sent again to a later owner, would still run.
     pub fn refusal(&self, reason: code::Code) -> refusal::Refusal {
         let ran = self.may_have_run();
         let code = match (reason, ran) {
             (code::Code::TaskTimeout, false) => code::Code::Expired,
-            // "Not run" is only ever said of a job no task of which was handed out.
+            // "Not run" is reported only for a job of which no task was sent.
             (code::Code::Expired, true) => code::Code::TaskTimeout,
             (reason, true) if reason.outcome() == code::Outcome::NotRun => code::Code::RetriesSpent,
             (reason, _) => reason,
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -1,7 +1,9 @@
-//! What one agent has started, and for whom: the place where a second start is refused.
+//! The ledger of one agent: a record of the tasks that it started, by which it refuses second
+//! starts.
 //!
-//! The ledger holds the fence (the newest epoch seen) and a record of every task that was started
-//! or withdrawn. `docs/design/claims.md` tells why this is enough for "no task starts twice".
+//! The ledger holds the newest epoch seen, which serves as a fence against older owners, and a
+//! record of every task that was started or withdrawn. `docs/design/claims.md` explains why this is
+//! enough to guarantee that no task starts twice.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time;
@@ -14,52 +16,54 @@
 use crate::id;
 use crate::task;
 
-/// How long after its end a submission may be sent again under its key.
+/// How long after its job has ended a submission may be sent again under its key.
 pub const RESUBMIT_WINDOW: time::Duration = time::Duration::from_secs(600);
 
-/// How long records, claims and lost lives are remembered.
+/// How long records, claims and lost incarnations are kept.
 ///
-/// A job may end as late as the longest target after its acceptance, with the last event at one
-/// agent early in that time. Whatever tells of it must last until nobody may resubmit any more.
+/// A job may end as late as the longest target after its acceptance, and the last event of it at
+/// one agent may come early in that time. All records of it must be kept until it may no longer be
+/// resubmitted.
 pub const RETENTION: time::Duration = class::MAX_TARGET
     .saturating_add(RESUBMIT_WINDOW)
     .saturating_add(time::Duration::from_secs(10));
 
-/// Most bytes of answers that are kept for owners that haven't acknowledged them.
+/// Most bytes of answers that an agent keeps for owners that haven't acknowledged them.
 pub const MAX_KEPT_BYTES: usize = 32 * 1024 * 1024;
 
-/// How a task stands at this agent.
+/// The state of a task at its agent.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It was never started here and, having been asked for, never will be.
+    /// It was never started here; since its owner asked for it, the starts sent so far are refused.
     Withdrawn,
-    /// It was started and runs.
+    /// It was started and is running.
     Started,
-    /// It ended and its answer is kept.
+    /// It ended, and its answer is kept.
     Done,
-    /// It ended and its answer is no longer kept.
+    /// It ended, and its answer is no longer kept.
     Gone,
 }
 
-/// What to do with a start.
+/// The ledger's decision on a start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartDecision {
-    /// Run it; the record is made.
+    /// The task is to be run; its start is recorded.
     Run,
-    /// The same start came twice; the first one's answer will do.
+    /// The task was started before; the answer of that start serves for this one too.
     Duplicate,
-    /// Nothing runs, and the owner is told so.
+    /// The task isn't run, and the owner gets this code.
     Refuse(code::Code),
 }
 
-/// Orders the starts of one task: by epoch, then by attempt.
+/// Identifies and orders the starts of one task: the epoch, then the attempt within it.
 pub type StartNumber = (id::Epoch, u32);
 
 /// One task's record.
 #[derive(Clone, Debug)]
 enum Record {
     Started(StartNumber),
+    /// The outcome, and the run time in microseconds.
     Done(task::Outcome, u64),
     Gone,
     /// No start up to this one will be run.
@@ -69,8 +73,10 @@
 #[derive(Clone, Debug)]
 struct Job {
     tasks: BTreeMap<id::TaskIndex, Record>,
+    /// True once the job was cancelled or acknowledged: nothing more of it starts, and no answers
+    /// of it are kept.
     closed: bool,
-    touched: time::Instant,
+    last_used: time::Instant,
 }
 
 /// The ledger of one agent.
@@ -79,26 +85,27 @@
     epoch: id::Epoch,
     joined: bool,
     jobs: HashMap<id::JobKey, Job>,
-    kept: VecDeque<task::Id>,
+    /// Tasks whose answers are kept, oldest first; it may hold some whose answers are gone.
+    kept_ids: VecDeque<task::Id>,
     kept_bytes: usize,
 }
 
 impl Ledger {
     /// Admits the agent to its cell, with the epoch read from the table after its row was written.
     ///
-    /// Guards against an owner of the past that meets an agent with an empty memory: it would see
-    /// its old starts accepted. The order (write the row, then read the epoch) makes sure that
-    /// either the agent knows the newest epoch or the newest owner knows the agent.
+    /// An agent that has just started has no records, so it would accept the starts of a superseded
+    /// owner again. Since it writes its row before it reads the epoch, either the agent knows the
+    /// newest epoch or the newest owner knows the agent.
     pub fn join(&mut self, epoch: id::Epoch) {
         self.epoch = self.epoch.max(epoch);
         self.joined = true;
     }
 
-    /// Raises the fence for an owner's hello.
+    /// Raises the fence to the epoch of an owner's hello.
     ///
     /// # Errors
     ///
-    /// Returns the newest epoch where the hello came from an owner of the past.
+    /// Returns the newest epoch if the hello came from a superseded owner.
     pub fn raise_fence(&mut self, epoch: id::Epoch) -> Result<(), id::Epoch> {
         if epoch < self.epoch {
             return Err(self.epoch);
@@ -107,17 +114,17 @@
         Ok(())
     }
 
-    /// The newest epoch seen.
+    /// Returns the newest epoch seen.
     pub fn epoch(&self) -> id::Epoch {
         self.epoch
     }
 
-    /// Tells whether the agent has joined its cell.
+    /// Returns whether the agent has joined its cell.
     pub fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// Decides on a start, and records it where it is to run.
+    /// Decides whether to run a start, and records it if so.
     pub fn start(
         &mut self,
         now: time::Instant,
@@ -128,16 +135,16 @@
         if !self.joined {
             return StartDecision::Refuse(code::Code::NotJoined);
         }
-        // An owner that was paused past the loss of its cell still believes in its queue. The
-        // fence was raised by its successor before the successor decided anything.
+        // An owner that was paused and has lost its cell meanwhile still works off its queue. Its
+        // successor raised the fence before it made any decision.
         if epoch < self.epoch {
             return StartDecision::Refuse(code::Code::StaleEpoch);
         }
         let job = self.job(now, &id.job);
         match job.tasks.get(&id.index) {
-            // The owner was told that starts up to this one won't run, and may have sent the task
-            // elsewhere since.
-            Some(Record::Withdrawn(mark)) if (epoch, attempt) <= *mark => {
+            // The agent has told the owner that starts up to this one won't run, so the owner may
+            // have sent the task to another agent since.
+            Some(Record::Withdrawn(number)) if (epoch, attempt) <= *number => {
                 StartDecision::Refuse(code::Code::Burned)
             }
             Some(Record::Withdrawn(_)) | None if job.closed => {
@@ -152,28 +159,29 @@
         }
     }
 
-    /// Refuses a task's starts up to this one, unless it was started. Tells whether it refused.
-    pub fn withdraw(&mut self, now: time::Instant, id: &task::Id, mark: StartNumber) -> bool {
+    /// Refuses the starts of a task up to `number` from now on, unless the task was started.
+    /// Returns whether it refuses them.
+    pub fn withdraw(&mut self, now: time::Instant, id: &task::Id, number: StartNumber) -> bool {
         let tasks = &mut self.job(now, &id.job).tasks;
-        let record = tasks.entry(id.index).or_insert(Record::Withdrawn(mark));
+        let record = tasks.entry(id.index).or_insert(Record::Withdrawn(number));
         match record {
             Record::Withdrawn(newest) => {
-                *newest = mark.max(*newest);
+                *newest = number.max(*newest);
                 true
             }
             Record::Started(_) | Record::Done(..) | Record::Gone => false,
         }
     }
 
-    /// Takes back a start that turned out not to have run, so that it may run elsewhere. Returns
-    /// which start it was.
+    /// Reverts the record of a start that turned out not to have run, so that the task may run
+    /// elsewhere. Returns which start it was.
     pub fn revert_start(&mut self, now: time::Instant, id: &task::Id) -> order::Attempt {
         let tasks = &mut self.job(now, &id.job).tasks;
         let mut attempt = 0;
-        if let Some(Record::Started(mark)) = tasks.get(&id.index) {
-            let mark = *mark;
-            attempt = mark.1;
-            tasks.insert(id.index, Record::Withdrawn(mark));
+        if let Some(Record::Started(number)) = tasks.get(&id.index) {
+            let number = *number;
+            attempt = number.1;
+            tasks.insert(id.index, Record::Withdrawn(number));
         }
         order::Attempt {
             id: id.clone(),
@@ -181,7 +189,7 @@
         }
     }
 
-    /// Keeps the outcome of a task until its job is acknowledged, within the bound.
+    /// Keeps the outcome of a task until its job is acknowledged, within [`MAX_KEPT_BYTES`].
     pub fn finish(
         &mut self,
         now: time::Instant,
@@ -196,15 +204,16 @@
         }
         let bytes = size(&outcome);
         job.tasks.insert(id.index, Record::Done(outcome, ran_us));
-        self.kept.push_back(id.clone());
+        self.kept_ids.push_back(id.clone());
         self.kept_bytes += bytes;
-        self.shed();
+        self.drop_oldest_answers();
     }
 
-    /// Tells how tasks stand, and withdraws those that were never seen.
+    /// Returns the states of tasks, and withdraws those that were never started here.
     ///
-    /// Guards against a start that is still on its way, on a connection that its owner has given
-    /// up: once the owner was told "withdrawn" it may start the task elsewhere.
+    /// A start may still be in transit on a connection that its owner has given up. Once the owner
+    /// gets "withdrawn" it may start the task elsewhere, so that start must be refused when it
+    /// arrives.
     pub fn resolve(
         &mut self,
         now: time::Instant,
@@ -214,17 +223,17 @@
         if epoch < self.epoch || !self.joined {
             return Vec::new();
         }
-        let mut standings = Vec::with_capacity(asked.len());
+        let mut states = Vec::with_capacity(asked.len());
         for attempt in asked {
             let id = &attempt.id;
             self.withdraw(now, id, (epoch, attempt.attempt));
             let record = &self.job(now, &id.job).tasks[&id.index];
-            standings.push((attempt.clone(), record.standing()));
+            states.push((attempt.clone(), record.state()));
         }
-        standings
+        states
     }
 
-    /// The outcome and run time in microseconds of a task that is done and kept.
+    /// Returns the outcome and the run time in microseconds of a task whose answer is kept.
     pub fn answer(&self, id: &task::Id) -> Option<(task::Outcome, u64)> {
         match self.jobs.get(&id.job)?.tasks.get(&id.index)? {
             Record::Done(outcome, ran_us) => Some((outcome.clone(), *ran_us)),
@@ -232,7 +241,8 @@
         }
     }
 
-    /// Closes a job for a cancellation: what wasn't started never will be. Returns what runs.
+    /// Closes a job that is cancelled, so that no further task of it starts. Returns its running
+    /// tasks.
     pub fn cancel(
         &mut self,
         now: time::Instant,
@@ -256,7 +266,7 @@
         running
     }
 
-    /// Drops a job's answers; the fact that its tasks were started stays for [`RETENTION`].
+    /// Drops a job's answers. The records that its tasks were started are kept for [`RETENTION`].
     pub fn acknowledge(&mut self, epoch: id::Epoch, job: &id::JobKey) {
         if epoch < self.epoch {
             return;
@@ -273,7 +283,7 @@
         }
     }
 
-    /// Everything that this agent started and remembers.
+    /// Returns all tasks of which this agent has a record, with their states.
     pub fn task_states(&self) -> Vec<(task::Id, TaskState)> {
         let mut tasks = Vec::new();
         for (job, record) in &self.jobs {
@@ -282,18 +292,18 @@
                     job: job.clone(),
                     index: *index,
                 };
-                tasks.push((id, task.standing()));
+                tasks.push((id, task.state()));
             }
         }
         tasks
     }
 
-    /// Forgets jobs that nobody touched for [`RETENTION`] and that run nothing.
+    /// Forgets jobs that were not used for [`RETENTION`] and have no running tasks.
     pub fn forget_expired(&mut self, now: time::Instant) {
         let mut freed = 0;
         self.jobs.retain(|_, job| {
             let running = job.tasks.values().any(|t| matches!(t, Record::Started(_)));
-            let keep = running || now.saturating_duration_since(job.touched) < RETENTION;
+            let keep = running || now.saturating_duration_since(job.last_used) < RETENTION;
             if !keep {
                 freed += job.tasks.values().map(Record::size).sum::<usize>();
             }
@@ -302,25 +312,26 @@
         self.kept_bytes -= freed;
     }
 
-    /// Bytes of answers that are kept.
+    /// Returns the size of the kept answers, in bytes.
     pub fn kept_bytes(&self) -> usize {
         self.kept_bytes
     }
 
+    /// Returns a job's records, marked as used now; creates them if there are none.
     fn job(&mut self, now: time::Instant, key: &id::JobKey) -> &mut Job {
         let job = self.jobs.entry(key.clone()).or_insert_with(|| Job {
             tasks: BTreeMap::new(),
             closed: false,
-            touched: now,
+            last_used: now,
         });
-        job.touched = now;
+        job.last_used = now;
         job
     }
 
-    /// Gives up the oldest answers once they take more room than there is.
-    fn shed(&mut self) {
+    /// Drops the oldest answers while they exceed [`MAX_KEPT_BYTES`].
+    fn drop_oldest_answers(&mut self) {
         while self.kept_bytes > MAX_KEPT_BYTES {
-            let Some(id) = self.kept.pop_front() else {
+            let Some(id) = self.kept_ids.pop_front() else {
                 return;
             };
             let Some(job) = self.jobs.get_mut(&id.job) else {
@@ -334,10 +345,11 @@
                 }
             }
         }
-        // Acknowledged answers leave their ids behind; drop them once they outnumber the jobs.
-        if self.kept.len() > 1024 + 4 * self.jobs.len() {
+        // The ids of acknowledged answers stay in the queue; drop them once they outnumber the
+        // jobs.
+        if self.kept_ids.len() > 1024 + 4 * self.jobs.len() {
             let jobs = &self.jobs;
-            self.kept.retain(|id| {
+            self.kept_ids.retain(|id| {
                 let job = jobs.get(&id.job);
                 job.is_some_and(|job| job.tasks.get(&id.index).is_some_and(|t| t.size() > 0))
             });
@@ -346,7 +358,7 @@
 }
 
 impl Record {
-    fn standing(&self) -> TaskState {
+    fn state(&self) -> TaskState {
         match self {
             Record::Started(_) => TaskState::Started,
             Record::Done(..) => TaskState::Done,
@@ -355,6 +367,7 @@
         }
     }
 
+    /// Returns the size of the kept answer in bytes; 0 if none is kept.
     fn size(&self) -> usize {
         match self {
             Record::Done(outcome, _) => size(outcome),
@@ -363,6 +376,7 @@
     }
 }
 
+/// Returns the bytes that an outcome counts for; at least 1, so that 0 stands for none.
 fn size(outcome: &task::Outcome) -> usize {
     match outcome {
         task::Outcome::Done(value) => value.get().len().max(1),
--- a/src/decide/line.rs
+++ b/src/decide/line.rs
@@ -1,4 +1,5 @@
-//! The waiting jobs of one client account whose tasks take alike of a worker, in order.
+//! A line: the sorted queue of the waiting jobs of one client account whose tasks have the same
+//! needs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time;
@@ -6,77 +7,81 @@
 use crate::decide::waiting::WaitingTask;
 use crate::id;
 
-/// Wait, as a share of a job's longest task, after which the job counts as due.
-const PATIENCE: f64 = 0.25;
+/// Wait, as a share of the run time of a job's longest task, after which the job counts as due.
+const ALLOWED_WAIT_SHARE: f64 = 0.25;
 
-/// By what the jobs of a line are ordered.
+/// The criterion by which the jobs of a line are ordered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobOrder {
-    /// By when the next task must start for the whole job to stay near its ideal time.
+    /// By the latest time at which the next task may start for the job to end near its ideal time.
     Slack,
-    /// By deadline and the work that is left, so that among jobs of one target the one that can end
-    /// soonest goes first and work in progress isn't spread over many.
+    /// By deadline plus remaining work. Among jobs with the same deadline the one that can end
+    /// soonest goes first, so that few jobs are in progress at a time.
     Deadline,
-    /// By arrival.
+    /// By time of arrival.
     Arrival,
 }
 
-/// Where a job stands: a moment, and its arrival to tell equals apart.
-type Place = (time::Instant, u64);
+/// The time by which a job is ordered, and its arrival number to order equal times.
+type SortKey = (time::Instant, u64);
 
 #[derive(Clone, Debug)]
 struct Job {
-    place: Place,
+    sort_key: SortKey,
     arrival: u64,
     arrived: time::Instant,
     deadline: time::Instant,
     longest: time::Duration,
-    /// Work of the waiting tasks.
-    left: time::Duration,
-    /// Shortest first, so that the longest is taken from the end.
+    /// Sum of the estimated run times of the waiting tasks.
+    work: time::Duration,
+    /// The waiting tasks, shortest first; the longest is taken from the end.
     tasks: Vec<WaitingTask>,
 }
 
 impl Job {
-    fn rank(&self, rule: JobOrder) -> Place {
+    fn compute_sort_key(&self, job_order: JobOrder) -> SortKey {
         let next = self.tasks.last().map_or(self.longest, |task| task.estimate);
-        match rule {
+        match job_order {
             JobOrder::Slack => {
-                let slack = self.longest.mul_f64(1.0 + PATIENCE).saturating_sub(next);
+                let slack = self
+                    .longest
+                    .mul_f64(1.0 + ALLOWED_WAIT_SHARE)
+                    .saturating_sub(next);
                 let due = (self.arrived + slack).min(self.deadline);
                 (due, self.arrival)
             }
             JobOrder::Deadline => {
-                // Bounded, so that no declared run time puts a job off for ever.
+                // The work counts up to the target at most, so that a job with an excessive
+                // declared run time isn't postponed without end.
                 let target = self.deadline.saturating_duration_since(self.arrived);
-                (self.deadline + self.left.min(target), self.arrival)
+                (self.deadline + self.work.min(target), self.arrival)
             }
             JobOrder::Arrival => (self.arrived, self.arrival),
         }
     }
 }
 
-/// The line.
+/// The waiting jobs of one client account, in the order in which their tasks start.
 #[derive(Clone, Debug)]
 pub struct Line {
-    rule: JobOrder,
-    order: BTreeMap<Place, id::JobKey>,
+    job_order: JobOrder,
+    sorted: BTreeMap<SortKey, id::JobKey>,
     jobs: HashMap<id::JobKey, Job>,
     arrivals: u64,
 }
 
 impl Line {
-    /// Opens an empty line.
-    pub fn open(rule: JobOrder) -> Line {
+    /// Creates an empty line.
+    pub fn open(job_order: JobOrder) -> Line {
         Line {
-            rule,
-            order: BTreeMap::new(),
+            job_order,
+            sorted: BTreeMap::new(),
             jobs: HashMap::new(),
             arrivals: 0,
         }
     }
 
-    /// Adds tasks of a job; a job that waits already gets them added.
+    /// Adds tasks to a job, and the job itself if none of its tasks waits here yet.
     pub fn push(
         &mut self,
         now: time::Instant,
@@ -87,16 +92,16 @@
         self.arrivals += 1;
         let arrival = self.arrivals;
         let job = self.jobs.entry(key.clone()).or_insert_with(|| Job {
-            place: (now, arrival),
+            sort_key: (now, arrival),
             arrival,
             arrived: now,
             deadline,
             longest: time::Duration::ZERO,
-            left: time::Duration::ZERO,
+            work: time::Duration::ZERO,
             tasks: Vec::new(),
         });
-        self.order.remove(&job.place);
-        job.left += tasks
+        self.sorted.remove(&job.sort_key);
+        job.work += tasks
             .iter()
             .map(|task| task.estimate)
             .sum::<time::Duration>();
@@ -104,54 +109,55 @@
         job.tasks.sort_by_key(|task| task.estimate);
         let longest = job.tasks.last().map(|task| task.estimate);
         job.longest = job.longest.max(longest.unwrap_or_default());
-        job.place = job.rank(self.rule);
-        self.order.insert(job.place, key.clone());
+        job.sort_key = job.compute_sort_key(self.job_order);
+        self.sorted.insert(job.sort_key, key.clone());
     }
 
-    /// Takes the next task, and tells its job's deadline.
+    /// Removes the next task and returns it with its job's deadline.
     pub fn pop(&mut self) -> Option<(time::Instant, WaitingTask)> {
-        let (place, key) = self.order.pop_first()?;
+        let (sort_key, key) = self.sorted.pop_first()?;
         let job = self.jobs.get_mut(&key).expect("a listed job has an entry");
         let task = job.tasks.pop().expect("a listed job has tasks");
         let deadline = job.deadline;
-        debug_assert_eq!(place, job.place, "a job is listed where it stands");
-        job.left = job.left.saturating_sub(task.estimate);
+        debug_assert_eq!(sort_key, job.sort_key, "a job is listed under its sort key");
+        job.work = job.work.saturating_sub(task.estimate);
         if job.tasks.is_empty() {
             self.jobs.remove(&key);
         } else {
-            job.place = job.rank(self.rule);
-            self.order.insert(job.place, key);
+            job.sort_key = job.compute_sort_key(self.job_order);
+            self.sorted.insert(job.sort_key, key);
         }
         Some((deadline, task))
     }
 
-    /// Takes a job's tasks away, in one step however many they are.
+    /// Removes a job. Returns its deadline and its waiting tasks. The cost doesn't grow with the
+    /// number of tasks.
     pub fn remove(&mut self, key: &id::JobKey) -> Option<(time::Instant, Vec<WaitingTask>)> {
         let job = self.jobs.remove(key)?;
-        self.order.remove(&job.place);
+        self.sorted.remove(&job.sort_key);
         Some((job.deadline, job.tasks))
     }
 
-    /// Changes by what the jobs are ordered.
-    pub fn set_job_order(&mut self, rule: JobOrder) {
-        if self.rule == rule {
+    /// Sorts the jobs by another criterion from now on.
+    pub fn set_job_order(&mut self, job_order: JobOrder) {
+        if self.job_order == job_order {
             return;
         }
-        self.rule = rule;
-        self.order.clear();
+        self.job_order = job_order;
+        self.sorted.clear();
         for (key, job) in &mut self.jobs {
-            job.place = job.rank(rule);
-            self.order.insert(job.place, key.clone());
+            job.sort_key = job.compute_sort_key(job_order);
+            self.sorted.insert(job.sort_key, key.clone());
         }
     }
 
-    /// The moment by which the first job is ordered.
+    /// Returns the time by which the first job is ordered.
     pub fn first_due(&self) -> Option<time::Instant> {
-        self.order.first_key_value().map(|((due, _), _)| *due)
+        self.sorted.first_key_value().map(|((due, _), _)| *due)
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no task waits.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.sorted.is_empty()
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,6 +1,7 @@
 //! Pure decisions: events and `now` go in, actions come out. No socket, clock or thread inside.
 //!
-//! The daemons feed these parts; tests, the model checker and the measurements drive the same code.
+//! The daemons call this code with what they receive and carry out the actions that it returns.
+//! Tests, the model checker and the benchmarks call the same code.
 
 pub mod action;
 pub mod backlog;
--- a/src/decide/needs_group.rs
+++ b/src/decide/needs_group.rs
@@ -1,4 +1,4 @@
-//! The waiting tasks that take alike of a worker: one line for each client account, in order.
+//! The waiting tasks that have the same needs: one line for each client account, in order.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time;
@@ -6,39 +6,43 @@
 use crate::decide::line;
 use crate::id;
 
-/// Where a line stands among the others; light ones come first. A float that isn't negative sorts
-/// as its bits do.
+/// The position of a line among the others; lines of light client accounts come first.
+///
+/// Slot time is stored as the bits of its `f64`, which have a total order; for values that aren't
+/// negative it is the order of the numbers.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Rank {
-    /// By when its first task should start.
+    /// A light client account, with the time by which the first task of its line should start.
     Light(time::Instant),
-    /// The bits of the slot time that its client account has used.
+    /// A heavy client account, with the bits of its weighted used slot time.
     Heavy(u64),
 }
 
 impl Rank {
-    /// Sorts ranks; heavy ones come first where the light ones yield.
-    pub fn sort_key(self, yields: bool) -> (bool, Rank) {
-        (yields && matches!(self, Rank::Light(_)), self)
+    /// Returns the key by which ranks are sorted. With `heavy_first` heavy ones sort before light
+    /// ones.
+    pub fn sort_key(self, heavy_first: bool) -> (bool, Rank) {
+        (heavy_first && matches!(self, Rank::Light(_)), self)
     }
 }
 
-/// Waiting tasks that take alike of a worker.
+/// The lines of all waiting tasks that have the same needs.
 #[derive(Clone, Debug, Default)]
 pub struct NeedsGroup {
-    /// Each with the rank under which it is listed.
+    /// Each client account's line, with the rank under which `sorted` lists it, if it does.
     pub lines: HashMap<id::ClientAccount, (Option<Rank>, line::Line)>,
-    /// The lines that aren't empty, by rank.
-    pub order: BTreeSet<(Rank, id::ClientAccount)>,
+    /// The client accounts whose lines aren't empty, by rank.
+    pub sorted: BTreeSet<(Rank, id::ClientAccount)>,
 }
 
 impl NeedsGroup {
-    /// The line that goes first; a heavy one where the light ones yield.
-    pub fn head(&self, yields: bool) -> Option<(Rank, &id::ClientAccount)> {
+    /// Returns the rank and client account of the line that goes first: with `heavy_first` the
+    /// first heavy one, if there is any.
+    pub fn first(&self, heavy_first: bool) -> Option<(Rank, &id::ClientAccount)> {
         let heavy = (Rank::Heavy(0), id::ClientAccount::default());
-        let first_heavy = || self.order.range(heavy..).next();
-        let first = yields.then(first_heavy).flatten();
-        let (rank, name) = first.or_else(|| self.order.first())?;
+        let first_heavy = || self.sorted.range(heavy..).next();
+        let first = heavy_first.then(first_heavy).flatten();
+        let (rank, name) = first.or_else(|| self.sorted.first())?;
         Some((*rank, name))
     }
 }
--- a/src/decide/notice.rs
+++ b/src/decide/notice.rs
@@ -1,4 +1,4 @@
-//! What an agent tells the owner of its cell.
+//! The messages from an agent to the owner of its cell.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -9,47 +9,49 @@
 use crate::id;
 use crate::task;
 
-/// One thing that an agent tells its owner.
+/// One message of an agent to its owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Notice {
-    /// The first notice of a link: who the agent is and what it started.
+    /// The first notice on a link: which incarnation the agent is and what it started.
     Welcome(Welcome),
-    /// The hello or an order came from an owner of the past.
+    /// The hello or an order came from a superseded owner. Holds the newest epoch that the agent
+    /// knows.
     Stale(id::Epoch),
-    /// A task ended.
+    /// A task ended with this answer.
     Answer(Answer),
-    /// The starts of a task up to this one were refused; nothing ran.
+    /// The agent refused this start of a task and all earlier ones; none of them ran.
     Refused(order::Attempt, code::Code),
-    /// How a task stands that the owner asked for, and up to which start that holds.
+    /// The state of a task that the owner asked for, with the start up to which it holds.
     Standing(order::Attempt, ledger::TaskState),
-    /// The state of the backend server changed, or nothing else was said for a while.
+    /// Shows that the agent is alive. Sent when the state of the backend server changes, or when
+    /// the agent has had no other message to send for a while.
     Heartbeat,
 }
 
 /// The agent's first notice.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Welcome {
-    /// The agent's life.
+    /// Distinguishes this process of the agent from earlier ones.
     pub incarnation: id::Incarnation,
-    /// Where it stands.
+    /// The agent's failure domain.
     pub failure_domain: CompactString,
-    /// Its rack.
+    /// The agent's rack.
     pub rack: CompactString,
-    /// All tasks of the cell that it remembers.
+    /// All tasks of the cell of which the agent keeps a record, with their states.
     pub tasks: Vec<(task::Id, ledger::TaskState)>,
 }
 
 /// The load of an agent and what its backend server offers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
-    /// Tasks that run at a time; 0 while no backend server is there or it leaves.
+    /// Number of tasks that may run at a time; 0 while there is no backend server or it is leaving.
     pub slots: u32,
-    /// What the backend server has for tasks.
+    /// Resources that the backend server offers to tasks.
     pub capacity: task::Needs,
-    /// Tasks that run now.
+    /// Number of tasks that run now.
     pub running: u32,
-    /// True once the agent or its backend server stops.
+    /// True once the agent or its backend server is stopping.
     pub draining: bool,
 }
 
@@ -58,8 +60,8 @@
 pub struct Answer {
     /// The task.
     pub id: task::Id,
-    /// How it ended.
+    /// Its result, or the code with which it failed.
     pub outcome: task::Outcome,
-    /// Microseconds that it ran.
+    /// Microseconds for which it ran.
     pub ran_us: u64,
 }
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -1,4 +1,4 @@
-//! What the owner of a cell asks of an agent.
+//! The messages from the owner of a cell to an agent.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -7,36 +7,37 @@
 use crate::id;
 use crate::task;
 
-/// One thing that an owner asks of an agent.
+/// One message of an owner to an agent.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Start a task.
+    /// Starts a task.
     Start(Start),
-    /// Withdraw a job: what waits vanishes, what runs is stopped where that can be done.
+    /// Cancels a job: no further task of it starts, and running ones are stopped if they can be.
     Cancel(id::JobKey),
-    /// A job's answers have reached their caller and need not be kept.
+    /// The caller has received a job's answers, so the agent need not keep them.
     Acknowledge(id::JobKey),
-    /// Tell how these tasks stand; what was never seen is refused for good.
+    /// Asks for the states of these tasks. The agent withdraws those that it has never started: it
+    /// refuses their starts up to the given one.
     Resolve(Vec<Attempt>),
-    /// Nothing else was said for a while.
+    /// Shows that the owner is alive when it has had no other message to send for a while.
     Heartbeat,
 }
 
-/// A task, and how often any task of its job was handed out by the owner so far.
+/// A task, and the number of starts that the owner has sent for tasks of its job so far.
 ///
-/// The number tells a start that is still on its way from one that was sent after the agent had
-/// refused the task, so that the same agent may take it after all.
+/// The number distinguishes a start that is still in transit from one that was sent after the agent
+/// had refused the task, so that the same agent may still run the later one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Attempt {
     /// The task.
     pub id: task::Id,
-    /// Counts the starts of the job's tasks in this epoch.
+    /// Number of this start among the starts of the job's tasks in this epoch.
     pub attempt: u32,
 }
 
 impl Start {
-    /// Names the task and the start.
+    /// Returns the task and the number of this start.
     pub fn attempt(&self) -> Attempt {
         Attempt {
             id: self.id.clone(),
@@ -50,19 +51,19 @@
 pub struct Start {
     /// The task.
     pub id: task::Id,
-    /// Counts the starts of the job's tasks in this epoch.
+    /// Number of this start among the starts of the job's tasks in this epoch.
     pub attempt: u32,
-    /// Its client account.
+    /// The client account of the task's job.
     #[serde(rename = "customer")]
     pub client_account: id::ClientAccount,
-    /// Milliseconds until its answer is worthless.
+    /// Milliseconds until the job's deadline, after which an answer is of no use.
     pub deadline_ms: u64,
-    /// What it takes of the worker.
+    /// Resources that the task takes on the worker.
     #[serde(default)]
     pub needs: task::Needs,
-    /// Its input.
+    /// Input that the backend server gets.
     pub input: Box<RawValue>,
-    /// The trace that it belongs to, if any.
+    /// W3C trace context of the trace that the task belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub traceparent: Option<CompactString>,
 }
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,9 +1,11 @@
-//! Who goes next, without weights: light client accounts first, heavy ones by what they have used.
+//! The queue of a cell's waiting tasks: light client accounts first, then heavy ones by used slot
+//! time.
 //!
-//! Client accounts that together fit beside the largest ones are light ([`demand`](crate::decide::demand)
-//! tells); their tasks go first, the one with the least slack before the others. The heavy ones
-//! share what is left by used slot time, which fades with a time constant of [`usage::DECAY_TIME`].
-//! `docs/design/queue.md` compares this with the baselines.
+//! There are no weights. Light client accounts are those whose demand fits together beside that of
+//! the largest ones ([`demand`](crate::decide::demand) classifies them). Their tasks go first, the
+//! one with the least slack before the others. The heavy ones share the remaining slots by used
+//! slot time, which decays with a time constant of [`usage::DECAY_TIME`]. `docs/design/queue.md`
+//! compares this with the baselines.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time;
@@ -18,57 +20,61 @@
 use crate::id;
 use crate::task;
 
-/// Tasks of light client accounts after which one of a heavy client account goes first, so that these
-/// are never starved where the light ones alone exceed the capacity for long.
-const LIGHT_RUN: u32 = 50;
+/// Tasks of light client accounts in a row, after which one of a heavy client account goes first,
+/// so that heavy ones aren't starved where the light ones alone exceed the capacity for long.
+const MAX_LIGHT_STREAK: u32 = 50;
 
-/// How the next task is chosen; the baselines stay runnable beside the chosen policy.
+/// How the next task is chosen. The baselines remain available for comparison with the default.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Light client accounts first, the others by used slot time.
+    /// Light client accounts first, heavy ones by used slot time.
     #[default]
     Fair,
     /// Baseline: all client accounts by used slot time.
     LeastUsed,
     /// Baseline: one queue, first in first out.
     Fifo,
-    /// Baseline: client accounts in turns.
+    /// Baseline: client accounts take turns.
     RoundRobin,
 }
 
-/// A waiting job: whose it is, how many tasks of it wait, and in which shapes.
+/// A job with waiting tasks: its client account, the number of those tasks, and their distinct
+/// needs.
 #[derive(Clone, Debug)]
 struct Job {
     client_account: id::ClientAccount,
     tasks: usize,
-    shapes: Vec<task::Needs>,
+    needs: Vec<task::Needs>,
 }
 
 /// The waiting tasks of one cell.
 #[derive(Clone, Debug)]
 pub struct Queue {
     policy: Policy,
+    /// The time from which deadlines are counted in `backlogs`.
     opened: time::Instant,
-    shapes: BTreeMap<task::Needs, needs_group::NeedsGroup>,
+    groups: BTreeMap<task::Needs, needs_group::NeedsGroup>,
     jobs: HashMap<id::JobKey, Job>,
     heavy: HashSet<id::ClientAccount>,
     usage: usage::Usage,
     backlogs: HashMap<id::ClientAccount, backlog::Backlog>,
     tasks: usize,
+    /// Estimated slot time of all waiting tasks.
     seconds: f64,
+    /// Estimated slot time of the waiting tasks of light client accounts.
     light_seconds: f64,
-    /// Tasks of light client accounts since the last of a heavy one.
-    light_run: u32,
+    /// Tasks of light client accounts that were started since the last one of a heavy one.
+    light_streak: u32,
 }
 
 impl Queue {
-    /// Opens an empty queue under a policy.
+    /// Creates an empty queue with a policy.
     pub fn open(policy: Policy, now: time::Instant) -> Queue {
         Queue {
             policy,
             opened: now,
-            shapes: BTreeMap::new(),
+            groups: BTreeMap::new(),
             jobs: HashMap::new(),
             heavy: HashSet::new(),
             usage: usage::Usage::open(now),
@@ -76,11 +82,11 @@
             tasks: 0,
             seconds: 0.0,
             light_seconds: 0.0,
-            light_run: 0,
+            light_streak: 0,
         }
     }
 
-    /// Adds waiting tasks of a job; a job that waits already gets them added.
+    /// Adds tasks to a job, and the job itself if none of its tasks waits yet.
     pub fn push(
         &mut self,
         now: time::Instant,
@@ -92,10 +98,10 @@
         let Some(first) = tasks.first() else {
             return;
         };
-        self.note(account, deadline, &tasks);
+        self.add_waiting(account, deadline, &tasks);
         let needs = first.needs;
         if tasks.iter().all(|task| task.needs == needs) {
-            self.push_shape(now, account, job, deadline, needs, tasks);
+            self.push_group(now, account, job, deadline, needs, tasks);
             return;
         }
         let mut by_needs: HashMap<task::Needs, Vec<WaitingTask>> = HashMap::new();
@@ -103,11 +109,12 @@
             by_needs.entry(task.needs).or_default().push(task);
         }
         for (needs, tasks) in by_needs {
-            self.push_shape(now, account, job, deadline, needs, tasks);
+            self.push_group(now, account, job, deadline, needs, tasks);
         }
     }
 
-    fn push_shape(
+    /// Adds tasks of a job that all have the same needs.
+    fn push_group(
         &mut self,
         now: time::Instant,
         account: &id::ClientAccount,
@@ -119,93 +126,96 @@
         let job = self.jobs.entry(key.clone()).or_insert_with(|| Job {
             client_account: account.clone(),
             tasks: 0,
-            shapes: Vec::new(),
+            needs: Vec::new(),
         });
         job.tasks += tasks.len();
-        if !job.shapes.contains(&needs) {
-            job.shapes.push(needs);
+        if !job.needs.contains(&needs) {
+            job.needs.push(needs);
         }
-        let name = self.line_of(account);
-        let rule = self.rule(&name);
-        let shape = self.shapes.entry(needs).or_default();
-        let (_, line) = shape
+        let line_account = self.line_account_of(account);
+        let job_order = self.job_order(&line_account);
+        let group = self.groups.entry(needs).or_default();
+        let (_, line) = group
             .lines
-            .entry(name.clone())
-            .or_insert_with(|| (None, line::Line::open(rule)));
+            .entry(line_account.clone())
+            .or_insert_with(|| (None, line::Line::open(job_order)));
         line.push(now, key, deadline, tasks);
-        self.settle(&needs, &name);
+        self.relist(&needs, &line_account);
     }
 
-    /// Takes the next task among those whose needs have room.
+    /// Removes and returns the next task among those for whose needs there is room.
     pub fn pop(&mut self, has_room: impl Fn(&task::Needs) -> bool) -> Option<WaitingTask> {
-        let yields = self.light_run >= LIGHT_RUN;
-        let heads = self.shapes.iter().filter_map(|(needs, shape)| {
-            let (rank, name) = shape.head(yields)?;
-            has_room(needs).then_some((rank, name, *needs))
+        let heavy_first = self.light_streak >= MAX_LIGHT_STREAK;
+        let candidates = self.groups.iter().filter_map(|(needs, group)| {
+            let (rank, line_account) = group.first(heavy_first)?;
+            has_room(needs).then_some((rank, line_account, *needs))
         });
-        let (_, name, needs) = heads.min_by_key(|(rank, ..)| rank.sort_key(yields))?;
-        let name = name.clone();
-        let shape = self.shapes.get_mut(&needs)?;
-        let (_, line) = shape.lines.get_mut(&name)?;
+        let (_, line_account, needs) =
+            candidates.min_by_key(|(rank, ..)| rank.sort_key(heavy_first))?;
+        let line_account = line_account.clone();
+        let group = self.groups.get_mut(&needs)?;
+        let (_, line) = group.lines.get_mut(&line_account)?;
         let (deadline, task) = line.pop()?;
-        self.settle(&needs, &name);
+        self.relist(&needs, &line_account);
         let job = self.jobs.get_mut(&task.id.job)?;
         job.tasks -= 1;
         let account = job.client_account.clone();
         if job.tasks == 0 {
             self.jobs.remove(&task.id.job);
         }
-        self.strike(&account, deadline, 1, task.estimate.as_secs_f64());
+        self.subtract_waiting(&account, deadline, 1, task.estimate.as_secs_f64());
         Some(task)
     }
 
-    /// Takes a job's waiting tasks away.
+    /// Removes a job and returns its waiting tasks.
     pub fn remove(&mut self, key: &id::JobKey) -> Vec<WaitingTask> {
         let Some(job) = self.jobs.remove(key) else {
             return Vec::new();
         };
-        let name = self.line_of(&job.client_account);
+        let line_account = self.line_account_of(&job.client_account);
         let mut all = Vec::new();
-        for needs in job.shapes {
-            let shape = self.shapes.get_mut(&needs);
-            let line = shape.and_then(|shape| shape.lines.get_mut(&name));
+        for needs in job.needs {
+            let group = self.groups.get_mut(&needs);
+            let line = group.and_then(|group| group.lines.get_mut(&line_account));
             let Some((deadline, tasks)) = line.and_then(|(_, line)| line.remove(key)) else {
                 continue;
             };
-            self.settle(&needs, &name);
+            self.relist(&needs, &line_account);
             let seconds = tasks.iter().map(|task| task.estimate.as_secs_f64()).sum();
-            self.strike(&job.client_account, deadline, tasks.len(), seconds);
+            self.subtract_waiting(&job.client_account, deadline, tasks.len(), seconds);
             all.extend(tasks);
         }
         all
     }
 
-    /// Books slot time, in seconds, on a client account; a negative amount corrects an earlier one.
+    /// Adds slot time, in seconds, to a client account's use; a negative amount corrects an earlier
+    /// one.
     pub fn charge(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
         let amount = match self.policy {
-            Policy::Fair | Policy::LeastUsed => seconds * self.scale(now),
+            Policy::Fair | Policy::LeastUsed => seconds * self.charge_weight(now),
             Policy::Fifo => return,
-            // A turn is taken when a task starts, whatever it uses.
+            // Each start counts as one turn, however much slot time the task uses.
             Policy::RoundRobin if seconds > 0.0 => 1.0,
             Policy::RoundRobin => return,
         };
         self.usage.add(account, amount);
-        let shapes: Vec<task::Needs> = self.shapes.keys().copied().collect();
-        for needs in shapes {
-            self.settle(&needs, account);
+        let all_needs: Vec<task::Needs> = self.groups.keys().copied().collect();
+        for needs in all_needs {
+            self.relist(&needs, account);
         }
     }
 
-    /// Notes that a client account's task was started.
+    /// Records that a task of a client account was started.
     pub fn record_start(&mut self, account: &id::ClientAccount) {
         if self.heavy.contains(account) {
-            self.light_run = 0;
+            self.light_streak = 0;
         } else {
-            self.light_run += 1;
+            self.light_streak += 1;
         }
     }
 
-    /// Notes whether a client account is light from now on.
+    /// Sets whether a client account is light from now on. Has an effect under [`Policy::Fair`]
+    /// only.
     pub fn set_light(&mut self, account: &id::ClientAccount, light: bool) {
         if self.policy != Policy::Fair {
             return;
@@ -216,59 +226,60 @@
         } else if !light && self.heavy.insert(account.clone()) {
             self.light_seconds = (self.light_seconds - seconds).max(0.0);
         }
-        let rule = self.rule(account);
-        let shapes: Vec<task::Needs> = self.shapes.keys().copied().collect();
-        for needs in shapes {
-            let shape = self.shapes.get_mut(&needs);
-            if let Some((_, line)) = shape.and_then(|shape| shape.lines.get_mut(account)) {
-                line.set_job_order(rule);
+        let job_order = self.job_order(account);
+        let all_needs: Vec<task::Needs> = self.groups.keys().copied().collect();
+        for needs in all_needs {
+            let group = self.groups.get_mut(&needs);
+            if let Some((_, line)) = group.and_then(|group| group.lines.get_mut(account)) {
+                line.set_job_order(job_order);
             }
-            self.settle(&needs, account);
+            self.relist(&needs, account);
         }
     }
 
-    /// Waiting tasks in all.
+    /// Returns the number of waiting tasks of all client accounts.
     pub fn len(&self) -> usize {
         self.tasks
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.tasks == 0
     }
 
-    /// Waiting tasks of a client account.
+    /// Returns the number of waiting tasks of a client account.
     pub fn waiting_tasks(&self, account: &id::ClientAccount) -> usize {
         self.backlogs
             .get(account)
             .map_or(0, backlog::Backlog::tasks)
     }
 
-    /// Slot time that a client account's waiting tasks are thought to take, in seconds.
+    /// Returns the estimated slot time of a client account's waiting tasks, in seconds.
     pub fn backlog_seconds(&self, account: &id::ClientAccount) -> f64 {
         self.backlogs
             .get(account)
             .map_or(0.0, backlog::Backlog::seconds)
     }
 
-    /// Slot time that all waiting tasks are thought to take, in seconds.
+    /// Returns the estimated slot time of all waiting tasks, in seconds.
     pub fn total_seconds(&self) -> f64 {
         self.seconds
     }
 
-    /// Slot time that the waiting tasks of light client accounts are thought to take, in seconds.
+    /// Returns the estimated slot time of the waiting tasks of light client accounts, in seconds.
     pub fn light_seconds(&self) -> f64 {
         self.light_seconds
     }
 
-    /// Client accounts and their waiting tasks.
+    /// Returns the client accounts, each with its number of waiting tasks.
     pub fn client_accounts(&self) -> impl Iterator<Item = (&id::ClientAccount, usize)> {
         self.backlogs
             .iter()
             .map(|(account, backlog)| (account, backlog.tasks()))
     }
 
-    /// How much too late something of a client account would be, were a job of it added.
+    /// Returns by how much the latest job of a client account would miss its time if a job of it
+    /// were added; see [`backlog::Backlog::lateness`] for the parameters.
     pub fn lateness(
         &self,
         now: time::Instant,
@@ -284,12 +295,13 @@
         backlog.lateness(now, deadline, longest, seconds, rate)
     }
 
+    /// Returns the time from the queue's creation to `at`, which is how backlogs count deadlines.
     fn since_opened(&self, at: time::Instant) -> time::Duration {
         at.saturating_duration_since(self.opened)
     }
 
-    /// Books waiting tasks on their client account.
-    fn note(
+    /// Adds waiting tasks to the totals and to the backlog of their client account.
+    fn add_waiting(
         &mut self,
         account: &id::ClientAccount,
         deadline: time::Instant,
@@ -306,8 +318,8 @@
         }
     }
 
-    /// Strikes waiting tasks off their client account.
-    fn strike(
+    /// Subtracts waiting tasks from the totals and from the backlog of their client account.
+    fn subtract_waiting(
         &mut self,
         account: &id::ClientAccount,
         deadline: time::Instant,
@@ -329,62 +341,69 @@
         }
     }
 
-    /// Lists a line where it stands now, or drops it once it is empty.
-    fn settle(&mut self, needs: &task::Needs, name: &id::ClientAccount) {
+    /// Lists a line under its present rank, or removes it if it is empty.
+    fn relist(&mut self, needs: &task::Needs, line_account: &id::ClientAccount) {
         let rank_of = |line: &line::Line| match (self.policy, line.first_due()) {
-            (Policy::Fair, Some(due)) if !self.heavy.contains(name) => Rank::Light(due),
-            _ => Rank::Heavy(self.usage.used_by(name).to_bits()),
+            (Policy::Fair, Some(due)) if !self.heavy.contains(line_account) => Rank::Light(due),
+            _ => Rank::Heavy(self.usage.used_by(line_account).to_bits()),
         };
-        let Some(shape) = self.shapes.get_mut(needs) else {
+        let Some(group) = self.groups.get_mut(needs) else {
             return;
         };
-        let Some((listed, line)) = shape.lines.get_mut(name) else {
+        let Some((listed_rank, line)) = group.lines.get_mut(line_account) else {
             return;
         };
-        if let Some(old) = listed.take() {
-            shape.order.remove(&(old, name.clone()));
+        if let Some(old) = listed_rank.take() {
+            group.sorted.remove(&(old, line_account.clone()));
         }
         if !line.is_empty() {
             let rank = rank_of(line);
-            *listed = Some(rank);
-            shape.order.insert((rank, name.clone()));
+            *listed_rank = Some(rank);
+            group.sorted.insert((rank, line_account.clone()));
             return;
         }
-        shape.lines.remove(name);
-        if shape.lines.is_empty() {
-            self.shapes.remove(needs);
+        group.lines.remove(line_account);
+        if group.lines.is_empty() {
+            self.groups.remove(needs);
         }
     }
 
-    fn rule(&self, name: &id::ClientAccount) -> line::JobOrder {
+    /// Returns the criterion by which the jobs of a line are ordered under the policy.
+    fn job_order(&self, line_account: &id::ClientAccount) -> line::JobOrder {
         match self.policy {
-            Policy::Fair if !self.heavy.contains(name) => line::JobOrder::Slack,
+            Policy::Fair if !self.heavy.contains(line_account) => line::JobOrder::Slack,
             Policy::Fair | Policy::LeastUsed => line::JobOrder::Deadline,
             Policy::Fifo | Policy::RoundRobin => line::JobOrder::Arrival,
         }
     }
 
-    /// Under FIFO all client accounts stand in one line.
-    fn line_of(&self, account: &id::ClientAccount) -> id::ClientAccount {
+    /// Returns the client account under which a line is kept; under FIFO all share one line, kept
+    /// under the empty client account.
+    fn line_account_of(&self, account: &id::ClientAccount) -> id::ClientAccount {
         match self.policy {
             Policy::Fifo => id::ClientAccount::default(),
             _ => account.clone(),
         }
     }
 
-    /// What one second of slot time weighs now.
-    fn scale(&mut self, now: time::Instant) -> f64 {
-        let (scale, scaled_back) = self.usage.current_weight(now);
-        if scaled_back {
-            let shapes = self.shapes.iter();
-            let listed = shapes
-                .flat_map(|(needs, shape)| shape.lines.keys().map(|name| (*needs, name.clone())));
-            let listed: Vec<(task::Needs, id::ClientAccount)> = listed.collect();
-            for (needs, name) in listed {
-                self.settle(&needs, &name);
+    /// Returns the weight of one second of slot time now. Lists all lines anew if the amounts were
+    /// rescaled for it.
+    fn charge_weight(&mut self, now: time::Instant) -> f64 {
+        let (weight, rescaled) = self.usage.current_weight(now);
+        if rescaled {
+            let groups = self.groups.iter();
+            let all_lines = groups.flat_map(|(needs, group)| {
+                group
+                    .lines
+                    .keys()
+                    .map(|line_account| (*needs, line_account.clone()))
+            });
+            let all_lines: Vec<(task::Needs, id::ClientAccount)> = all_lines.collect();
+            for (needs, line_account) in all_lines {
+                self.relist(&needs, &line_account);
             }
             self.backlogs.retain(|_, backlog| backlog.tasks() > 0);
         }
-        scale
+        weight
     }
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,32 +1,35 @@
-//! The retry budget: what provably didn't start may be sent again, but only as a share of the work.
+//! The retry budget: tasks that provably didn't start are sent again, up to a share of all starts.
 //!
-//! One budget covers the whole path of a cell, so that retries can't multiply hop by hop
+//! One budget covers all hops of a cell, so that retries at several hops can't multiply
 //! (`docs/design/overload.md`).
 
-/// Retries that each start pays for.
-const SHARE: f64 = 0.1;
+/// Retries that each start adds to the budget.
+const RETRIES_PER_START: f64 = 0.1;
 
-/// Retries that may be saved up; a rack that drains gives back what waits at three agents at once.
-const MAX_SAVED: f64 = 200.0;
+/// Most retries that the budget may hold: a rack that drains returns the tasks that wait at three
+/// agents at once.
+const MAX_SAVED_RETRIES: f64 = 200.0;
 
-/// The budget of one cell.
+/// The retry budget of one cell.
 #[derive(Clone, Debug)]
 pub struct Budget {
     saved: f64,
 }
 
 impl Budget {
-    /// Opens a full budget.
+    /// Creates a full budget.
     pub fn open() -> Budget {
-        Budget { saved: MAX_SAVED }
+        Budget {
+            saved: MAX_SAVED_RETRIES,
+        }
     }
 
-    /// Notes a first start.
+    /// Adds the share of a retry that a start earns.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + SHARE).min(MAX_SAVED);
+        self.saved = (self.saved + RETRIES_PER_START).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry out of the budget; false where none is left.
+    /// Takes one retry out of the budget. Returns false if none is left.
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -1,11 +1,12 @@
-//! How cells spread over the entries that are alive, without anybody who hands them out.
+//! Decides which cells an entry takes, so that the cells spread evenly over the live entries
+//! without a coordinator.
 //!
-//! Every entry looks at the same rows and decides for itself: a vacant cell is taken soonest by
-//! the entry that holds fewest, each entry looks at the cells in an order of its own, and an entry
-//! that holds too few pulls one cell at a time from the one that holds most. Taking a cell is
-//! always safe (`docs/design/claims.md`), so a wrong guess about who is alive costs a takeover and
-//! never a promise. Weighed against it: cells by rendezvous hashing alone, which leaves some
-//! entries with three or four cells of sixteen and others with none.
+//! Every entry reads the same rows and decides by itself. The entry that holds fewest cells takes a
+//! vacant cell first; each entry tries the cells in an order of its own; and an entry that holds
+//! too few takes over one cell at a time from the entry that holds most, which is called a pull.
+//! Taking a cell is always safe (`docs/design/claims.md`), so a wrong assumption about which
+//! entries are alive costs an extra takeover and breaks no guarantee. Rendezvous hashing alone
+//! would leave some entries with three or four of sixteen cells and others with none.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,27 +16,28 @@
 
 use crate::id;
 
-/// Wait before a vacant cell is taken, for every cell held more than by the one with fewest.
+/// Wait before taking a vacant cell, for each cell that the entry holds more than the entry with
+/// fewest.
 pub const VACANT_WAIT_STEP: time::Duration = time::Duration::from_millis(400);
 
-/// Longest wait before a vacant cell is taken, so that a cell is never left to the dead.
+/// Longest wait before taking a vacant cell, so that a cell isn't left for an entry that has died.
 pub const MAX_VACANT_WAIT: time::Duration = time::Duration::from_secs(2);
 
-/// Least pause of one entry between two pulls. Each pull costs the cell a takeover.
+/// Least time between two pulls of one entry. Each pull costs the cell a takeover.
 pub const MIN_PULL_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
-/// Cells that an entry must hold more than another before one is pulled from it.
+/// Least number of cells that an entry holds more than another when one is pulled from it.
 const MIN_SURPLUS: usize = 2;
 
-/// Who is alive and holds which cells, as one entry sees it.
+/// The live entries and the cells that each holds, as one entry sees them.
 #[derive(Clone, Debug, Default)]
 pub struct Holdings {
     held: BTreeMap<id::EntryId, Vec<id::Cell>>,
 }
 
 impl Holdings {
-    /// Gathers the entries that are alive, and the owners by cell. An owner that isn't alive holds
-    /// nothing here, so that nobody waits for it or pulls from it.
+    /// Collects the live entries and the owners by cell. The cells of an owner that isn't alive
+    /// count for nobody, so that no entry leaves a cell to it or pulls one from it.
     pub fn gather<'a>(
         alive: impl IntoIterator<Item = &'a id::EntryId>,
         owners: impl IntoIterator<Item = (id::Cell, &'a id::EntryId)>,
@@ -50,17 +52,18 @@
         Holdings { held }
     }
 
-    /// Notes that an entry has taken a cell.
+    /// Records that an entry has taken a cell.
     pub fn add(&mut self, entry: &id::EntryId, cell: id::Cell) {
         self.held.entry(entry.clone()).or_default().push(cell);
     }
 
-    /// How many cells an entry holds.
+    /// Returns the number of cells that an entry holds.
     pub fn cell_count(&self, entry: &id::EntryId) -> usize {
         self.held.get(entry).map_or(0, Vec::len)
     }
 
-    /// How long an entry leaves a vacant cell to those that hold fewer.
+    /// Returns how long an entry waits before it takes a vacant cell, so that entries with fewer
+    /// cells can take it first.
     pub fn vacancy_wait(&self, me: &id::EntryId) -> time::Duration {
         let least = self.held.values().map(Vec::len).min().unwrap_or(0);
         let more = self.cell_count(me).saturating_sub(least);
@@ -69,8 +72,9 @@
             .min(MAX_VACANT_WAIT)
     }
 
-    /// Tells whether an entry may take a cell that has been vacant since a time. Its own last
-    /// taking counts as well, or it would take a second cell the moment after the first.
+    /// Returns whether an entry may take a cell that has been vacant since `vacant`. The wait also
+    /// counts from `taken`, when the entry last took a cell; otherwise it would take a second one
+    /// at once.
     pub fn may_take(
         &self,
         me: &id::EntryId,
@@ -82,27 +86,30 @@
         now.saturating_duration_since(since) >= self.vacancy_wait(me)
     }
 
-    /// The cell that an entry pulls next, from the one that holds most, if that one holds enough
-    /// more than it.
+    /// Returns the cell that an entry should pull next, from the entry that holds most. Returns
+    /// `None` if the difference is too small.
     pub fn cell_to_pull(&self, me: &id::EntryId) -> Option<id::Cell> {
         let (donor, cells) = self.held.iter().max_by_key(|(_, cells)| cells.len())?;
         if donor == me || cells.len() < self.cell_count(me) + MIN_SURPLUS {
             return None;
         }
-        cells.iter().copied().min_by_key(|cell| rank(me, *cell))
+        cells
+            .iter()
+            .copied()
+            .min_by_key(|cell| preference(me, *cell))
     }
 }
 
-/// The order in which an entry looks at cells. Every entry has its own, so that entries that start
-/// at the same moment seldom try for the same cell.
+/// Returns all cells in the order in which an entry tries to take them. Every entry has its own
+/// order, so that entries that start at the same time seldom try for the same cell.
 pub fn cell_order(me: &id::EntryId, cells: u16) -> Vec<id::Cell> {
     let mut all: Vec<id::Cell> = (0..cells).collect();
-    all.sort_by_key(|cell| rank(me, *cell));
+    all.sort_by_key(|cell| preference(me, *cell));
     all
 }
 
-/// Rendezvous hashing: the entry's weight for a cell, heaviest first.
-fn rank(entry: &id::EntryId, cell: id::Cell) -> (Reverse<u64>, id::Cell) {
+/// Returns the key by which an entry orders cells: the weight of rendezvous hashing, highest first.
+fn preference(entry: &id::EntryId, cell: id::Cell) -> (Reverse<u64>, id::Cell) {
     let weight = xxh3::xxh3_64_with_seed(entry.as_bytes(), cell.into());
     (Reverse(weight), cell)
 }
--- a/src/decide/timing.rs
+++ b/src/decide/timing.rs
@@ -1,4 +1,4 @@
-//! Where the time of jobs and tasks went, as plain moments; the daemon makes spans of them.
+//! Timestamps of jobs and tasks at their owner, from which the daemon makes the spans of a trace.
 
 use std::collections::BTreeMap;
 use std::time;
@@ -9,19 +9,20 @@
 use crate::id;
 use crate::task;
 
-/// The moments of a job that hasn't ended.
+/// The timestamps of a job that hasn't ended.
 #[derive(Clone, Debug)]
 pub struct Timestamps {
-    /// When the owner took it.
+    /// When the owner accepted the job.
     pub submitted: time::Instant,
-    /// When its tasks could start, once they could: its claim is written or needn't be.
+    /// When its tasks became free to start: its claim was written, or they didn't have to wait for
+    /// it.
     pub startable: Option<time::Instant>,
-    /// When tasks that an agent refused went back into the queue.
+    /// When each task that an agent refused went back into the queue.
     pub requeued: BTreeMap<id::TaskIndex, time::Instant>,
 }
 
 impl Timestamps {
-    /// Opens the moments of a job that was just taken.
+    /// Creates the timestamps of a job that is accepted at `now`.
     pub fn open(now: time::Instant) -> Timestamps {
         Timestamps {
             submitted: now,
@@ -30,56 +31,56 @@
         }
     }
 
-    /// When a task began to wait for a slot.
+    /// Returns when a task last began to wait for a slot.
     pub fn queued_at(&self, index: id::TaskIndex) -> time::Instant {
         let requeued = self.requeued.get(&index).copied();
         requeued.or(self.startable).unwrap_or(self.submitted)
     }
 }
 
-/// The times of something that is over.
+/// The times of a task or job that has ended.
 #[derive(Clone, Debug)]
 pub enum Timing {
-    /// A task came back from an agent.
+    /// A task for which an agent sent an answer or a refusal.
     Task(Task),
-    /// A job ended.
+    /// A job that ended.
     Job(Job),
 }
 
 /// The times of one task at its owner.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// The trace that it belongs to.
+    /// W3C trace context of the trace that it belongs to.
     pub traceparent: CompactString,
-    /// The task.
+    /// Identifies the task.
     pub id: task::Id,
-    /// The agent that it was sent to.
+    /// The agent to which it was sent.
     pub agent: id::AgentId,
-    /// When it began to wait for a slot.
+    /// When it began to wait for a slot, for this start.
     pub queued: time::Instant,
-    /// When it was sent.
+    /// When its start was sent to the agent.
     pub sent: time::Instant,
-    /// When it came back.
+    /// When its answer or refusal arrived.
     pub returned: time::Instant,
-    /// Whether it ran; else the agent refused it.
+    /// True if it ran, false if the agent refused it.
     pub ran: bool,
 }
 
 /// The times of one job at its owner.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The trace that it belongs to.
+    /// W3C trace context of the trace that it belongs to.
     pub traceparent: CompactString,
-    /// The scoped key.
+    /// The job's key, with its client account as a prefix.
     pub key: id::JobKey,
-    /// How many tasks it has.
+    /// Number of its tasks.
     pub tasks: usize,
-    /// When the owner took it.
+    /// When the owner accepted the job.
     pub submitted: time::Instant,
-    /// When its tasks could start, if they ever could.
+    /// When its tasks became free to start, if they ever did.
     pub startable: Option<time::Instant>,
-    /// When it ended.
+    /// When the job ended.
     pub ended: time::Instant,
-    /// The code with which it failed, if it did.
+    /// The code with which the job failed, if it failed.
     pub failure: Option<code::Code>,
 }
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -1,16 +1,16 @@
-//! A task that waits for a worker.
+//! A task that waits in a queue for a slot of a worker.
 
 use std::time;
 
 use crate::task;
 
-/// A task that waits, as a queue orders it.
+/// A waiting task with what the queue needs to know of it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WaitingTask {
-    /// The task.
+    /// Identifies the task.
     pub id: task::Id,
-    /// How long it is thought to run.
+    /// Estimated run time.
     pub estimate: time::Duration,
-    /// What it takes of a worker.
+    /// Resources that the task takes on a worker.
     pub needs: task::Needs,
 }
