--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -19,18 +19,17 @@
 /// Timeout of the first message of an entry, which names it.
 const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Maximum number of links at a time. An agent usually has about ten. If many entries know few
-/// agents, as in the first second of a large fleet, the entries that are turned away try the next
-/// agents in their order.
+/// Maximum number of links at a time. An agent usually has about ten. If many entries know few agents, as in
+/// the first second of a large fleet, the entries that are turned away try the next agents in their order.
 pub const MAX_LINKS: usize = 128;
 
-/// If the agent has written nothing on a link for this many heartbeats, it answers the entry's next
-/// message. An entry's heartbeats so prompt those of its agents.
+/// If the agent has written nothing on a link for this many heartbeats, it answers the entry's next message. An
+/// entry's heartbeats so prompt those of its agents.
 const ANSWER_AFTER_HEARTBEATS: f64 = 0.5;
 
-/// If nothing was written on a link for this many heartbeats, the entry is late and the agent
-/// writes a message unprompted. Every write resets the timer, so that a link causes no wake-up of
-/// its own while the entry's messages arrive in time.
+/// If nothing was written on a link for this many heartbeats, the entry is late and the agent writes a message
+/// unprompted. Every write resets the timer, so that a link causes no wake-up of its own while the entry's
+/// messages arrive in time.
 const UNPROMPTED_AFTER_HEARTBEATS: f64 = 1.25;
 
 pub(super) async fn accept_links(inner: Arc<Inner>, listener: TcpListener) {
@@ -97,9 +96,9 @@
     })
 }
 
-/// Registers a link as the one of its entry; returns none if a later link of the entry is
-/// registered or there are too many links. The entry's previous link is closed: if its connection
-/// had gone silent, ends and loans would be written to it that the entry never receives.
+/// Registers a link as the one of its entry; returns none if a later link of the entry is registered or there
+/// are too many links. The entry's previous link is closed: if its connection had gone silent, ends and loans
+/// would be written to it that the entry never receives.
 fn register_link(inner: &Inner, name: &EntryIncarnation, number: u64) -> Option<Link> {
     let mut links = mutex::lock(&inner.links);
     if let Some(old) = links.get(name) {
@@ -171,8 +170,7 @@
     }
 }
 
-/// The state of one link while it is up: what the entry was told and how many of its starts were
-/// read.
+/// The state of one link while it is up: what the entry was told and how many of its starts were read.
 struct LinkSession {
     inner: Arc<Inner>,
     name: EntryIncarnation,
--- a/src/besteffort/agent/mod.rs
+++ b/src/besteffort/agent/mod.rs
@@ -1,8 +1,8 @@
 //! An agent for best-effort work, between the entries that link to it and its backend server.
 //!
-//! [`Slots`] decides what runs; this module sends its orders to the backend server and its messages
-//! to the entries. Everything runs on one thread: the small machines beside backend servers have a
-//! fraction of one core.
+//! [`Slots`] decides what runs; this module sends its orders to the backend server and its messages to the
+//! entries. Everything runs on one thread: the small machines beside backend servers have a fraction of one
+//! core.
 
 mod link;
 mod server;
@@ -36,8 +36,8 @@
 /// Interval at which the time bounds are checked; short against the shortest of them (40 ms).
 const TICK: time::Duration = time::Duration::from_millis(20);
 
-/// How long a listing's answer may take beyond the time that the backend server waits for an end.
-/// After that the answer counts as lost.
+/// How long a listing's answer may take beyond the time that the backend server waits for an end. After that
+/// the answer counts as lost.
 const LISTING_ANSWER_MARGIN: time::Duration = time::Duration::from_millis(200);
 
 /// A boxed future, as the closures of [`BackendServer`] return it.
@@ -48,8 +48,8 @@
 pub enum ListingError {
     /// There was no answer, so that nobody knows what the backend server did.
     NoAnswer,
-    /// Another incarnation of the backend server answered, so that all runs on the one that was
-    /// asked have ended.
+    /// Another incarnation of the backend server answered, so that all runs on the one that was asked have
+    /// ended.
     AnotherIncarnation,
     /// The connection was refused: the backend server has ended.
     Refused,
@@ -57,8 +57,7 @@
 
 /// The calls of an agent to its backend server.
 pub struct BackendServer {
-    /// Starts a run under a lease that ends at the given time of the backend server's clock, in
-    /// milliseconds.
+    /// Starts a run under a lease that ends at the given time of the backend server's clock, in milliseconds.
     #[allow(clippy::type_complexity)]
     pub start: Box<dyn Fn(Recipient, Run, CompactString, u64) -> Answer<StartAnswer> + Send + Sync>,
     /// Stops a run, or makes sure that it never begins; resolves to true once that is certain.
@@ -72,8 +71,8 @@
 pub struct ListCall {
     /// The incarnation that is asked.
     pub to: Recipient,
-    /// The requested end of the lease, in milliseconds of the backend server's clock; none to leave
-    /// the lease as it is.
+    /// The requested end of the lease, in milliseconds of the backend server's clock; none to leave the lease
+    /// as it is.
     pub lease_until_ms: Option<u64>,
     /// The number of the last end that needn't be listed again.
     pub acknowledged: u64,
@@ -122,8 +121,8 @@
     work_began: Notify,
     /// Wakes the listing loop when the backend server has a new incarnation.
     new_incarnation: Notify,
-    /// Whether all runs that an earlier incarnation of the agent started have ended. Before that
-    /// the lease isn't renewed, and no entry is told that nothing runs here.
+    /// Whether all runs that an earlier incarnation of the agent started have ended. Before that the lease
+    /// isn't renewed, and no entry is told that nothing runs here.
     leftovers_ended: AtomicBool,
 }
 
@@ -143,8 +142,8 @@
     addr: SocketAddr,
 }
 
-/// Starts an agent and listens for links of entries. It first ends the runs that an earlier
-/// incarnation of it has left.
+/// Starts an agent and listens for links of entries. It first ends the runs that an earlier incarnation of it
+/// has left.
 ///
 /// # Errors
 ///
@@ -173,8 +172,8 @@
         self.addr
     }
 
-    /// Handles a heartbeat of the backend server. If it comes from an incarnation that isn't the
-    /// current one, that incarnation is checked first.
+    /// Handles a heartbeat of the backend server. If it comes from an incarnation that isn't the current one,
+    /// that incarnation is checked first.
     pub fn heartbeat_received(&self, heartbeat: Heartbeat) {
         let check =
             mutex::lock(&self.inner.slots).heartbeat_received(clock::since_boot(), heartbeat);
@@ -195,9 +194,8 @@
         mutex::lock(&self.inner.slots).announced_backend().clone()
     }
 
-    /// Restores the backend server as an earlier incarnation of the agent knew it, if a check finds
-    /// it up. Otherwise the agent would wait for the next heartbeat. Does nothing once an
-    /// incarnation is known.
+    /// Restores the backend server as an earlier incarnation of the agent knew it, if a check finds it up.
+    /// Otherwise the agent would wait for the next heartbeat. Does nothing once an incarnation is known.
     pub async fn restore_backend(&self, backend: Backend) {
         if !self.server_incarnation().id.is_empty() {
             return;
--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -1,5 +1,5 @@
-//! Runs the agent's side of the connection to its backend server: requests listings, sends orders
-//! and checks the time bounds.
+//! Runs the agent's side of the connection to its backend server: requests listings, sends orders and checks
+//! the time bounds.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -19,12 +19,12 @@
 /// Interval at which the time bounds are checked while the agent holds no run.
 const IDLE_TICK: time::Duration = time::Duration::from_millis(100);
 
-/// How long the backend server may delay a listing until a run ends; it bounds the age of the lease
-/// and of the reported progress.
+/// How long the backend server may delay a listing until a run ends; it bounds the age of the lease and of the
+/// reported progress.
 const MAX_LISTING_WAIT: time::Duration = time::Duration::from_millis(150);
 
-/// How long a delayed listing may be silent while something runs before a second one asks for the
-/// present state. About the time between two ends at an agent under ordinary load (33 ms).
+/// How long a delayed listing may be silent while something runs before a second one asks for the present
+/// state. About the time between two ends at an agent under ordinary load (33 ms).
 const PROBE_AFTER: time::Duration = time::Duration::from_millis(40);
 
 /// How long the delayed listing may still take after the second one has listed an end.
@@ -64,8 +64,8 @@
     }
 }
 
-/// Keeps a delayed listing under way at the backend server, so that ends are learned at once and
-/// the lease is renewed.
+/// Keeps a delayed listing under way at the backend server, so that ends are learned at once and the lease is
+/// renewed.
 pub(super) async fn keep_listing(inner: Arc<Inner>) {
     loop {
         if !wait_for_end(&inner).await {
@@ -79,10 +79,10 @@
 
 /// Waits for a listing that contains an end; returns false if none could be had.
 ///
-/// A lost listing looks like one that is delayed until a run ends. When one order in twenty was
-/// lost, one end in ten was learned 200 ms late, and its slot was idle for as long. So while
-/// something runs and no listing came for [`PROBE_AFTER`], a second listing asks for the present
-/// state. If that one contains an end, the delayed one is lost and is given up.
+/// A lost listing looks like one that is delayed until a run ends. When one order in twenty was lost, one end
+/// in ten was learned 200 ms late, and its slot was idle for as long. So while something runs and no listing
+/// came for [`PROBE_AFTER`], a second listing asks for the present state. If that one contains an end, the
+/// delayed one is lost and is given up.
 async fn wait_for_end(inner: &Arc<Inner>) -> bool {
     let waiting = list_once(inner, MAX_LISTING_WAIT);
     tokio::pin!(waiting);
@@ -90,11 +90,10 @@
         let is_working = mutex::lock(&inner.slots).is_working();
         tokio::select! {
             listed = &mut waiting => return listed.is_some(),
-            // A listing of the incarnation before may hang until its timeout; if the agent waited
-            // for it, the new incarnation would look unreachable.
+            // A listing of the incarnation before may hang until its timeout; if the agent waited for it, the
+            // new incarnation would look unreachable.
             () = inner.new_incarnation.notified() => return true,
-            // An idle agent, as most of a large fleet are, needn't wake up to see that nothing
-            // runs.
+            // An idle agent, as most of a large fleet are, needn't wake up to see that nothing runs.
             () = inner.work_began.notified(), if !is_working => continue,
             () = sleep(PROBE_AFTER), if is_working => {}
         }
@@ -155,9 +154,9 @@
     let asked = call.to.clone();
     let answer = timeout(wait + LISTING_ANSWER_MARGIN, (inner.server.list)(call)).await;
     let now = clock::since_boot();
-    // An answer from or about an earlier incarnation, which was under way when the next one was
-    // accepted, says nothing about what runs now. If it were used, it would end runs that have just
-    // begun, and their tasks would run twice.
+    // An answer from or about an earlier incarnation, which was under way when the next one was accepted, says
+    // nothing about what runs now. If it were used, it would end runs that have just begun, and their tasks
+    // would run twice.
     if mutex::lock(&inner.slots).recipient() != asked {
         return None;
     }
--- a/src/besteffort/entry/link.rs
+++ b/src/besteffort/entry/link.rs
@@ -18,22 +18,22 @@
 use crate::id;
 use crate::mutex;
 
-/// Timeout of a connect to an agent: many round trips between failure domains (2 ms), since the
-/// agent's operating system answers however busy the agent is. A machine that is off doesn't answer
-/// at all, and the sooner the next try, the sooner an agent that has just started is found.
+/// Timeout of a connect to an agent: many round trips between failure domains (2 ms), since the agent's
+/// operating system answers however busy the agent is. A machine that is off doesn't answer at all, and the
+/// sooner the next try, the sooner an agent that has just started is found.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
-/// Timeout of an agent's hello. An agent that has just started first ends what its earlier
-/// incarnation left running, which takes as long as that incarnation's lease.
+/// Timeout of an agent's hello. An agent that has just started first ends what its earlier incarnation left
+/// running, which takes as long as that incarnation's lease.
 const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
-/// Pause before the first reconnect to an agent, doubled after each failure up to the maximum. An
-/// agent that was killed is usually back within seconds.
+/// Pause before the first reconnect to an agent, doubled after each failure up to the maximum. An agent that
+/// was killed is usually back within seconds.
 const MIN_RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(50);
 const MAX_RECONNECT_PAUSE: time::Duration = time::Duration::from_millis(400);
 
-/// Number of failed connects in a row after which the agent is unlikely to be back soon, and the
-/// pause from then on.
+/// Number of failed connects in a row after which the agent is unlikely to be back soon, and the pause from
+/// then on.
 const MAX_FREQUENT_TRIES: u32 = 60;
 const RARE_RECONNECT_PAUSE: time::Duration = time::Duration::from_secs(4);
 
@@ -88,8 +88,8 @@
     }
 }
 
-/// Pause after a number of failed connects. It is random, so that entries which lost an agent
-/// together don't reconnect together.
+/// Pause after a number of failed connects. It is random, so that entries which lost an agent together don't
+/// reconnect together.
 fn reconnect_pause(tries: u32) -> time::Duration {
     let pause = if tries > MAX_FREQUENT_TRIES {
         RARE_RECONNECT_PAUSE
@@ -185,8 +185,8 @@
 }
 
 impl AgentClock {
-    /// Takes the composed message to write it now. Times are converted to the agent's clock; the
-    /// transit time of the agent's last message makes them too early, never too late.
+    /// Takes the composed message to write it now. Times are converted to the agent's clock; the transit time
+    /// of the agent's last message makes them too early, never too late.
     fn next_message(&self, link: &Link, work: Option<WaitingWork>) -> EntryMessage {
         *mutex::lock(&link.written_at) = clock::since_boot();
         let mut message = std::mem::take(&mut *mutex::lock(&link.outgoing));
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -1,7 +1,7 @@
 //! An entry for best-effort work, between callers that submit jobs and the agents that it links to.
 //!
-//! [`Board`] decides what is done; this module carries out its actions. Everything runs on one
-//! thread: the entry VMs have a fraction of one core.
+//! [`Board`] decides what is done; this module carries out its actions. Everything runs on one thread: the
+//! entry VMs have a fraction of one core.
 
 mod link;
 
@@ -29,12 +29,12 @@
 /// Interval at which the time bounds are checked.
 const TICK: time::Duration = time::Duration::from_millis(20);
 
-/// A tick that comes so late shows that the process was paused. A machine that has used up its
-/// share of the processor pauses for less than 100 ms.
+/// A tick that comes so late shows that the process was paused. A machine that has used up its share of the
+/// processor pauses for less than 100 ms.
 const MIN_PROCESS_PAUSE: time::Duration = time::Duration::from_millis(180);
 
-/// A message written within this part of the heartbeat interval replaces the heartbeat. The longest
-/// silence is then 150 ms, and two more heartbeats fit before an agent gives the entry up.
+/// A message written within this part of the heartbeat interval replaces the heartbeat. The longest silence is
+/// then 150 ms, and two more heartbeats fit before an agent gives the entry up.
 const RECENT_WRITE_HEARTBEATS: f64 = 0.25;
 
 /// The identity of an entry, its bounds and its policy.
@@ -108,16 +108,16 @@
         mutex::lock(&self.inner.board).unlist_agent(agent);
     }
 
-    /// Records a crash of an agent's backend server that the agent has reported, but not on a link
-    /// to this entry.
+    /// Records a crash of an agent's backend server that the agent has reported, but not on a link to this
+    /// entry.
     pub fn crash_reported(&self, agent: &str, incarnation: id::Incarnation, crash: &Crash) {
         let now = clock::since_boot();
         mutex::lock(&self.inner.board).crash_reported(now, agent, incarnation, crash);
         perform_actions(&self.inner);
     }
 
-    /// Runs a job and returns its outcome. Dropping the future means that the caller has left, and
-    /// cancels the job.
+    /// Runs a job and returns its outcome. Dropping the future means that the caller has left, and cancels the
+    /// job.
     pub async fn run(&self, submission: Submission) -> Outcome {
         let admitted = mutex::lock(&self.inner.board).submit(clock::since_boot(), submission);
         let no = match admitted {
@@ -175,8 +175,8 @@
         perform_actions(&self.inner);
     }
 
-    /// Updates the evacuated failure domains from a reading of the store. All agents are told of a
-    /// change at once.
+    /// Updates the evacuated failure domains from a reading of the store. All agents are told of a change at
+    /// once.
     pub fn update_evacuations(&self, reading: &StoreReading) {
         let mut evacuations = mutex::lock(&self.inner.evacuations);
         if !evacuations.update(reading) {
@@ -205,8 +205,7 @@
         mutex::lock(&self.inner.board).membership(clock::since_boot())
     }
 
-    /// Whether an agent is linked and no more agents are expected to connect after the entry's
-    /// start.
+    /// Whether an agent is linked and no more agents are expected to connect after the entry's start.
     pub fn has_found_agents(&self) -> bool {
         self.linked_agents() > 0
             && mutex::lock(&self.inner.board).has_found_agents(clock::since_boot())
@@ -268,10 +267,9 @@
     }
 }
 
-/// Sends a heartbeat on all links at the same time, so that the agents answer at the same time: an
-/// entry with 68 agents then wakes up about ten times per heartbeat instead of twice for each
-/// agent. Wake-ups are most of the cost of an idle link to an entry with little processor time
-/// (docs/MEASUREMENTS.md).
+/// Sends a heartbeat on all links at the same time, so that the agents answer at the same time: an entry with
+/// 68 agents then wakes up about ten times per heartbeat instead of twice for each agent. Wake-ups are most of
+/// the cost of an idle link to an entry with little processor time (docs/MEASUREMENTS.md).
 fn send_heartbeats(inner: &Inner, now: time::Duration) {
     for link in mutex::lock(&inner.links).values() {
         let written_at = *mutex::lock(&link.written_at);
--- a/src/besteffort/line.rs
+++ b/src/besteffort/line.rs
@@ -1,5 +1,4 @@
-//! JSON lines over TCP: one message a line, with bounds on the length of a line and the time of a
-//! write.
+//! JSON lines over TCP: one message a line, with bounds on the length of a line and the time of a write.
 
 use std::io;
 use std::time;
@@ -50,13 +49,13 @@
 }
 
 impl Reader {
-    /// Reads one message. If the future is dropped in the middle of a line, what was read is kept
-    /// for the next call.
+    /// Reads one message. If the future is dropped in the middle of a line, what was read is kept for the next
+    /// call.
     ///
     /// # Errors
     ///
-    /// Fails at the end of the connection, on a line longer than [`MAX_MESSAGE_BYTES`], and on a
-    /// line that isn't valid JSON of the expected type.
+    /// Fails at the end of the connection, on a line longer than [`MAX_MESSAGE_BYTES`], and on a line that
+    /// isn't valid JSON of the expected type.
     pub async fn read<T: DeserializeOwned>(&mut self) -> io::Result<T> {
         loop {
             if self.buf.last() == Some(&b'\n') {
--- a/src/decide/besteffort/slots/counts.rs
+++ b/src/decide/besteffort/slots/counts.rs
@@ -32,15 +32,14 @@
     pub starts: BTreeMap<&'static str, u64>,
     /// Stops sent, including those sent again.
     pub stops: u64,
-    /// How often runs were lost because the lease ran out or another incarnation of the backend
-    /// server answered, by cause.
+    /// How often runs were lost because the lease ran out or another incarnation of the backend server
+    /// answered, by cause.
     pub leases_lost: BTreeMap<&'static str, u64>,
     /// Crashes of the backend server with runs on it that may have caused the crash.
     pub crashes: u64,
     /// Incarnations of the backend server that the agent has accepted as the current one.
     pub incarnations: u64,
-    /// Messages of the backend server that were ignored as outdated. A few are normal, since
-    /// messages overtake each other; a steady stream means that the agent ignores a backend server
-    /// that is up.
+    /// Messages of the backend server that were ignored as outdated. A few are normal, since messages overtake
+    /// each other; a steady stream means that the agent ignores a backend server that is up.
     pub stale_messages: BTreeMap<StaleMessage, u64>,
 }
--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -1,10 +1,9 @@
-//! Detects crashes of the backend server, names the runs that may have caused them, and isolates
-//! suspected tasks from other work.
+//! Detects crashes of the backend server, names the runs that may have caused them, and isolates suspected
+//! tasks from other work.
 //!
-//! Silence doesn't prove a crash: a cut link or a paused process looks the same, and a planned stop
-//! is announced beforehand. The agent concludes that a backend server has crashed if a connection
-//! to it is refused, or if another incarnation of it answers, and it hadn't announced that it
-//! leaves.
+//! Silence doesn't prove a crash: a cut link or a paused process looks the same, and a planned stop is
+//! announced beforehand. The agent concludes that a backend server has crashed if a connection to it is
+//! refused, or if another incarnation of it answers, and it hadn't announced that it leaves.
 
 use std::collections::VecDeque;
 use std::time;
@@ -18,8 +17,8 @@
 pub enum Isolation {
     /// No isolation: suspects run beside other work.
     Together,
-    /// Nothing else starts shortly before a suspect or while it is on probation, so that a crash in
-    /// that time is caused by the suspect. Runs that began earlier continue.
+    /// Nothing else starts shortly before a suspect or while it is on probation, so that a crash in that time
+    /// is caused by the suspect. Runs that began earlier continue.
     #[default]
     Probation,
     /// Nothing else runs beside a suspect.
@@ -30,8 +29,7 @@
 #[derive(Clone, Debug)]
 struct TaskOnServer {
     name: TaskName,
-    /// Whether the run had begun less than [`PROBATION`] before the backend server was last known
-    /// to be up.
+    /// Whether the run had begun less than [`PROBATION`] before the backend server was last known to be up.
     just_started: bool,
     suspect: bool,
 }
@@ -65,9 +63,8 @@
         self.isolation = isolation;
     }
 
-    /// Handles a connection that was refused because nothing listens at the backend server's
-    /// address. Ignores it if another incarnation has been accepted since the call to `to` was
-    /// decided.
+    /// Handles a connection that was refused because nothing listens at the backend server's address. Ignores
+    /// it if another incarnation has been accepted since the call to `to` was decided.
     pub fn connection_refused(&mut self, now: time::Duration, to: &Recipient) {
         if *to != self.recipient() || to.incarnation.id.is_empty() {
             return;
@@ -79,8 +76,8 @@
         }
     }
 
-    /// Records that the current incarnation has ended. The tasks on it become suspects, unless it
-    /// had announced that it leaves.
+    /// Records that the current incarnation has ended. The tasks on it become suspects, unless it had announced
+    /// that it leaves.
     pub(super) fn incarnation_ended(&mut self, now: time::Duration) {
         if !self.crashes.connection_refused {
             self.record_crash(now);
@@ -89,8 +86,8 @@
         self.crashes.lost.clear();
     }
 
-    /// Records that the current incarnation has answered: it hasn't crashed. A crash that was
-    /// reported for it is replaced by an empty one, which withdraws the suspicion.
+    /// Records that the current incarnation has answered: it hasn't crashed. A crash that was reported for it
+    /// is replaced by an empty one, which withdraws the suspicion.
     pub(super) fn incarnation_answered(&mut self, now: time::Duration) {
         self.crashes.lost.clear();
         if std::mem::take(&mut self.crashes.connection_refused) {
@@ -98,8 +95,8 @@
         }
     }
 
-    /// Remembers the task of a run that is given up as lost. If it turns out later that the backend
-    /// server has crashed, the task is one of the suspects.
+    /// Remembers the task of a run that is given up as lost. If it turns out later that the backend server has
+    /// crashed, the task is one of the suspects.
     pub(super) fn record_lost_run(&mut self, now: time::Duration, run: &Run) {
         let lost = self
             .held
@@ -108,16 +105,15 @@
         self.crashes.lost.extend(lost);
     }
 
-    /// Records that a start has begun or may have begun. If a crash was detected while the start
-    /// was under way, its task may have caused the crash and is added to the report.
+    /// Records that a start has begun or may have begun. If a crash was detected while the start was under way,
+    /// its task may have caused the crash and is added to the report.
     pub(super) fn start_may_have_begun(&mut self, now: time::Duration) {
         if self.crashes.connection_refused {
             self.record_crash(now);
         }
     }
 
-    /// When the backend server was last known to be up: at its last listing, or when it last
-    /// accepted a start.
+    /// When the backend server was last known to be up: at its last listing, or when it last accepted a start.
     fn last_known_up(&self, now: time::Duration) -> time::Duration {
         let listed = now.saturating_sub(self.lease.since_last_answer(now).unwrap_or_default());
         let held = self.held.values();
@@ -170,16 +166,15 @@
         self.report_crash(now, crash);
     }
 
-    /// Whether a crash of the current incarnation has been reported; a later finding only extends
-    /// the report.
+    /// Whether a crash of the current incarnation has been reported; a later finding only extends the report.
     fn is_crash_reported(&self) -> bool {
         let mut known = self.crashes.known.iter().map(|(_, crash)| crash);
         let of_this_life = known.find(|crash| crash.server == self.counts.incarnations);
         of_this_life.is_some_and(|crash| crash.suspects().next().is_some())
     }
 
-    /// Reports a crash of the current incarnation, with its suspects, to all entries. It replaces
-    /// an earlier report on the same incarnation.
+    /// Reports a crash of the current incarnation, with its suspects, to all entries. It replaces an earlier
+    /// report on the same incarnation.
     fn report_crash(&mut self, now: time::Duration, crash: Crash) {
         let crash = Crash {
             server: self.counts.incarnations,
@@ -204,8 +199,8 @@
         }
     }
 
-    /// Whether a start has to wait for isolation: because its own task is a suspect and other runs
-    /// have just begun, or because a suspect waits or is on probation.
+    /// Whether a start has to wait for isolation: because its own task is a suspect and other runs have just
+    /// begun, or because a suspect waits or is on probation.
     pub(super) fn must_wait_for_isolation(&self, now: time::Duration, start: &Start) -> bool {
         if self.isolation == Isolation::Together {
             return false;
@@ -235,8 +230,8 @@
         self.must_wait_for_isolation(now, &other)
     }
 
-    /// Returns the waiting suspects that can't start soon, since another suspect waits before them
-    /// or is on probation. They are returned to their entries, which place them elsewhere.
+    /// Returns the waiting suspects that can't start soon, since another suspect waits before them or is on
+    /// probation. They are returned to their entries, which place them elsewhere.
     pub(super) fn surplus_suspects(&self, now: time::Duration) -> Vec<Run> {
         if self.isolation == Isolation::Together {
             return Vec::new();
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -1,5 +1,4 @@
-//! The agent's side of the links to entries: handles their requests and composes the messages to
-//! them.
+//! The agent's side of the links to entries: handles their requests and composes the messages to them.
 
 use std::time;
 
@@ -11,8 +10,8 @@
 use crate::decide::besteffort::slots::{millis, Entry, HeldRun, Slots, State};
 
 impl Slots {
-    /// Handles a new link of an entry. Returns the hello that the agent answers with: the entry's
-    /// runs that are held here and its most recent ends. The caller fills in the agent's identity.
+    /// Handles a new link of an entry. Returns the hello that the agent answers with: the entry's runs that are
+    /// held here and its most recent ends. The caller fills in the agent's identity.
     pub fn entry_connected(&mut self, now: time::Duration, name: &EntryIncarnation) -> Hello {
         let entry = self.entries.entry(name.clone()).or_default();
         entry.unsent_ends.clear();
@@ -32,9 +31,8 @@
         }
     }
 
-    /// Handles a message of an entry that repeats the agent's clock as `seen_ms`, which proves when
-    /// the entry last heard the agent. Returns whether the message is recent enough for its starts
-    /// to be carried out.
+    /// Handles a message of an entry that repeats the agent's clock as `seen_ms`, which proves when the entry
+    /// last heard the agent. Returns whether the message is recent enough for its starts to be carried out.
     pub fn message_received(
         &mut self,
         now: time::Duration,
@@ -49,8 +47,8 @@
         now < until
     }
 
-    /// Handles an entry's request to start a run. A request that the agent already holds is
-    /// ignored; one that never fits or isn't `fresh` is returned at once.
+    /// Handles an entry's request to start a run. A request that the agent already holds is ignored; one that
+    /// never fits or isn't `fresh` is returned at once.
     pub fn start_requested(
         &mut self,
         now: time::Duration,
@@ -94,8 +92,8 @@
         }
     }
 
-    /// Composes the next message to an entry: free room, ends, crashes and the progress of its
-    /// runs. What is put into it counts as sent.
+    /// Composes the next message to an entry: free room, ends, crashes and the progress of its runs. What is
+    /// put into it counts as sent.
     pub fn next_message(&mut self, name: &EntryIncarnation, now: time::Duration) -> AgentMessage {
         let now_ms = now.as_millis() as u64;
         let mut message = AgentMessage {
@@ -124,8 +122,8 @@
         message
     }
 
-    /// Counts the entries that compete for the room: this one and the others that have work
-    /// waiting. An entry without waiting work leaves its share to the others.
+    /// Counts the entries that compete for the room: this one and the others that have work waiting. An entry
+    /// without waiting work leaves its share to the others.
     fn sharers(&self, now: time::Duration, name: &EntryIncarnation) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != name);
         let waiting = others.filter(|(_, e)| now < e.alive_until && e.waiting_work.is_some());
--- a/src/decide/besteffort/slots/held.rs
+++ b/src/decide/besteffort/slots/held.rs
@@ -13,8 +13,7 @@
     Starting,
     /// The backend server has accepted the start.
     Running,
-    /// The start had no answer, so that nobody knows whether the run began; a stop makes sure of
-    /// its end.
+    /// The start had no answer, so that nobody knows whether the run began; a stop makes sure of its end.
     StartUnconfirmed,
     /// The backend server has answered a stop; the next listing tells how the run ended.
     StopConfirmed,
--- a/src/decide/besteffort/slots/incarnations.rs
+++ b/src/decide/besteffort/slots/incarnations.rs
@@ -1,17 +1,16 @@
 //! Decides which incarnation of the backend server is the current one.
 //!
-//! A heartbeat may arrive seconds late: after its sender has crashed and the next incarnation has
-//! announced itself, and even after the agent, which knew that, has been restarted. If the agent
-//! believed a late heartbeat of a dead incarnation, it would give up the runs of the live one, and
-//! their tasks would start elsewhere while those runs continue; and no later heartbeat would make
-//! the live incarnation the current one again. So an incarnation that isn't the current one is
-//! accepted only after it has answered a call that names it.
+//! A heartbeat may arrive seconds late: after its sender has crashed and the next incarnation has announced
+//! itself, and even after the agent, which knew that, has been restarted. If the agent believed a late
+//! heartbeat of a dead incarnation, it would give up the runs of the live one, and their tasks would start
+//! elsewhere while those runs continue; and no later heartbeat would make the live incarnation the current one
+//! again. So an incarnation that isn't the current one is accepted only after it has answered a call that names
+//! it.
 //!
-//! The next incarnation may use the id of the one before and number its heartbeats from the
-//! beginning. If these numbers were compared with those of the incarnation before, the announcement
-//! that it leaves would be acknowledged but ignored as late, and it would still get work. So
-//! numbers are compared within one incarnation only, and an incarnation is identified by its id and
-//! its start time ([`ServerIncarnation`]).
+//! The next incarnation may use the id of the one before and number its heartbeats from the beginning. If these
+//! numbers were compared with those of the incarnation before, the announcement that it leaves would be
+//! acknowledged but ignored as late, and it would still get work. So numbers are compared within one
+//! incarnation only, and an incarnation is identified by its id and its start time ([`ServerIncarnation`]).
 
 use std::time;
 
@@ -21,9 +20,9 @@
     Listing, Recipient, Slots, StaleMessage, State, ANOTHER_INCARNATION,
 };
 
-/// Maximum number of incarnations that are checked at a time. With room for one only, a heartbeat
-/// of a dead incarnation or of another writer would displace the live one, which would be checked
-/// again only at its next heartbeat, 1.5 s later.
+/// Maximum number of incarnations that are checked at a time. With room for one only, a heartbeat of a dead
+/// incarnation or of another writer would displace the live one, which would be checked again only at its next
+/// heartbeat, 1.5 s later.
 const MAX_CANDIDATES: usize = 8;
 
 /// An incarnation that has announced itself and is being checked for being up.
@@ -40,8 +39,8 @@
     }
 }
 
-/// A request for a listing by one incarnation, whose answer proves that the incarnation is up. It
-/// doesn't renew the lease.
+/// A request for a listing by one incarnation, whose answer proves that the incarnation is up. It doesn't renew
+/// the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Check {
     /// Tells this check from earlier ones, whose answers may be late.
@@ -62,8 +61,8 @@
 }
 
 impl Slots {
-    /// Handles a heartbeat. Returns the check to make if it comes from an incarnation that isn't
-    /// the current one; heartbeats of incarnations that are known to be dead are ignored.
+    /// Handles a heartbeat. Returns the check to make if it comes from an incarnation that isn't the current
+    /// one; heartbeats of incarnations that are known to be dead are ignored.
     pub fn heartbeat_received(
         &mut self,
         now: time::Duration,
@@ -137,8 +136,8 @@
         self.count_stale(StaleMessage::Heartbeat);
     }
 
-    /// Handles the result of a check that was sent at `sent`. Returns whether the incarnation is
-    /// now the current one.
+    /// Handles the result of a check that was sent at `sent`. Returns whether the incarnation is now the
+    /// current one.
     pub fn check_answered(
         &mut self,
         now: time::Duration,
@@ -179,9 +178,9 @@
         }
     }
 
-    /// Handles the answer of another incarnation under the id of the current one, which is
-    /// therefore dead. If the new incarnation hasn't announced itself yet, its room isn't known,
-    /// and it gets no work until it does.
+    /// Handles the answer of another incarnation under the id of the current one, which is therefore dead. If
+    /// the new incarnation hasn't announced itself yet, its room isn't known, and it gets no work until it
+    /// does.
     pub(super) fn restarted_under_same_id(&mut self, now: time::Duration, born_ms: Option<u64>) {
         let incarnation = ServerIncarnation {
             born_ms,
@@ -206,8 +205,8 @@
         self.adopt_incarnation(now, heartbeat);
     }
 
-    /// Makes another incarnation the current one, as soon as an answer proves that it is up. What
-    /// ran on the one before has ended with it.
+    /// Makes another incarnation the current one, as soon as an answer proves that it is up. What ran on the
+    /// one before has ended with it.
     fn adopt_incarnation(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         let incarnation = &heartbeat.backend.incarnation;
         if !self.backend.incarnation.id.is_empty() {
@@ -226,10 +225,9 @@
             self.lease = Lease::open(self.bounds);
             self.end_lost_runs(now, ANOTHER_INCARNATION);
         }
-        // Checks that are under way may yet be answered by an incarnation that has died since, so
-        // they are void. The heartbeats of the candidates are kept, and the next one starts a new
-        // check: if they were dropped, an announced leave that was acknowledged would be undone by
-        // a late, older heartbeat.
+        // Checks that are under way may yet be answered by an incarnation that has died since, so they are
+        // void. The heartbeats of the candidates are kept, and the next one starts a new check: if they were
+        // dropped, an announced leave that was acknowledged would be undone by a late, older heartbeat.
         self.candidates
             .retain(|known| *known.incarnation() != heartbeat.backend.incarnation);
         for known in &mut self.candidates {
@@ -242,10 +240,10 @@
         self.update_backend(now, heartbeat.backend);
     }
 
-    /// Remembers the runs of the incarnation before under the same id. They have either ended with
-    /// it or run on the new incarnation, since an order that was under way reaches whichever
-    /// incarnation is up. If they were given up at once, their tasks would run twice. The first
-    /// listing under the new fence tells which case it is.
+    /// Remembers the runs of the incarnation before under the same id. They have either ended with it or run on
+    /// the new incarnation, since an order that was under way reaches whichever incarnation is up. If they were
+    /// given up at once, their tasks would run twice. The first listing under the new fence tells which case it
+    /// is.
     fn inherit_runs(&mut self) {
         let task_on_server = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
         self.inherited = task_on_server.map(|(run, _)| run.clone()).collect();
@@ -269,8 +267,8 @@
         self.dispatch_waiting(now);
     }
 
-    /// Handles a loss of room: waiting starts that don't fit any more are returned to their
-    /// entries, and all loans end.
+    /// Handles a loss of room: waiting starts that don't fit any more are returned to their entries, and all
+    /// loans end.
     fn return_unfitting_starts(&mut self, now: time::Duration) {
         for entry in self.entries.values_mut() {
             entry.loan = None;
@@ -288,10 +286,9 @@
         }
     }
 
-    /// Handles the announcement of an incarnation that it leaves now. Its runs may continue for a
-    /// moment, so the agent still waits for their ends. An announcement without a start time may
-    /// come late from an earlier incarnation under the same id; in that case the next heartbeat of
-    /// the current one corrects it.
+    /// Handles the announcement of an incarnation that it leaves now. Its runs may continue for a moment, so
+    /// the agent still waits for their ends. An announcement without a start time may come late from an earlier
+    /// incarnation under the same id; in that case the next heartbeat of the current one corrects it.
     pub fn server_left(&mut self, now: time::Duration, incarnation: &ServerIncarnation) {
         let is_meant = |known: &ServerIncarnation| {
             known.id == incarnation.id
@@ -303,21 +300,20 @@
             self.backend.takes_work = false;
             self.dispatch_waiting(now);
         }
-        // A candidate's earlier heartbeat, whose check is still under way, would bring it back as
-        // one that takes work.
+        // A candidate's earlier heartbeat, whose check is still under way, would bring it back as one that
+        // takes work.
         self.candidates
             .retain(|known| !is_meant(known.incarnation()));
     }
 
-    /// Handles an answer by which the current incarnation is dead, so that none of its runs
-    /// continues.
+    /// Handles an answer by which the current incarnation is dead, so that none of its runs continues.
     pub fn another_incarnation_answered(&mut self, now: time::Duration) {
         self.end_lost_runs(now, ANOTHER_INCARNATION);
     }
 }
 
-/// Whether a listing may come from an incarnation. It may if either doesn't tell: no incarnation is
-/// known yet, or the listing has no start time.
+/// Whether a listing may come from an incarnation. It may if either doesn't tell: no incarnation is known yet,
+/// or the listing has no start time.
 pub(super) fn may_belong_to(listing: &Listing, incarnation: &ServerIncarnation) -> bool {
     incarnation.id.is_empty() || listing.born_ms.is_none() || listing.born_ms == incarnation.born_ms
 }
--- a/src/decide/besteffort/slots/lend.rs
+++ b/src/decide/besteffort/slots/lend.rs
@@ -1,18 +1,17 @@
 //! Decides which entry may use room that becomes free.
 //!
-//! Under overload, many entries wait for the room of all workers. If every entry with waiting work
-//! were told of each slot that becomes free, all would send a start, all but one start would be
-//! returned, and entries with little processor time couldn't keep up with the messages. So free
-//! room is lent to one entry at a time, the one whose work is most urgent, for as long as its start
-//! may take to arrive.
+//! Under overload, many entries wait for the room of all workers. If every entry with waiting work were told of
+//! each slot that becomes free, all would send a start, all but one start would be returned, and entries with
+//! little processor time couldn't keep up with the messages. So free room is lent to one entry at a time, the
+//! one whose work is most urgent, for as long as its start may take to arrive.
 
 use std::time;
 
 use crate::decide::besteffort::message::{EntryIncarnation, Room, WaitingWork};
 use crate::decide::besteffort::slots::Slots;
 
-/// How long room is lent to an entry that was told of it: the time of an exchange between failure
-/// domains (2 ms), and the time until a busy entry handles the message.
+/// How long room is lent to an entry that was told of it: the time of an exchange between failure domains (2
+/// ms), and the time until a busy entry handles the message.
 const LOAN_DURATION: time::Duration = time::Duration::from_millis(25);
 
 /// Room that is reserved for the starts of one entry.
@@ -22,14 +21,13 @@
     /// The number of tasks that the room is lent for.
     tasks: u32,
     until: time::Duration,
-    /// The agent's clock in the message that told the entry of the loan; none if it wasn't sent
-    /// yet.
+    /// The agent's clock in the message that told the entry of the loan; none if it wasn't sent yet.
     pub(super) sent_ms: Option<u64>,
 }
 
 impl Slots {
-    /// Updates what waits at an entry. A message that the entry wrote after it heard of a loan ends
-    /// the loan: its starts have used the room, and the rest becomes free.
+    /// Updates what waits at an entry. A message that the entry wrote after it heard of a loan ends the loan:
+    /// its starts have used the room, and the rest becomes free.
     pub fn update_waiting_work(
         &mut self,
         now: time::Duration,
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -1,10 +1,10 @@
-//! Decides what an agent runs for its entries: which starts it sends to the backend server, how
-//! much room they take and when each run must end.
+//! Decides what an agent runs for its entries: which starts it sends to the backend server, how much room they
+//! take and when each run must end.
 //!
-//! The agent ends a run when it hasn't heard the run's entry for [`Bounds::silence`], when the
-//! run's deadline has passed, and when its entry has withdrawn it. A run takes room until a listing
-//! of the backend server contains its end, so that the agent never asks for more than the backend
-//! server has. A run whose start had no answer counts as running until it is certain that it isn't.
+//! The agent ends a run when it hasn't heard the run's entry for [`Bounds::silence`], when the run's deadline
+//! has passed, and when its entry has withdrawn it. A run takes room until a listing of the backend server
+//! contains its end, so that the agent never asks for more than the backend server has. A run whose start had
+//! no answer counts as running until it is certain that it isn't.
 
 mod counts;
 mod crashes;
@@ -63,22 +63,19 @@
     loan: Option<lend::Loan>,
 }
 
-/// The agent's decisions on best-effort work: the runs it holds, the backend server's state and
-/// lease, and the entries.
+/// The agent's decisions on best-effort work: the runs it holds, the backend server's state and lease, and the
+/// entries.
 ///
-/// Events and `now` (time since boot, including suspensions) go in; [`Order`]s to the backend
-/// server come out of [`Slots::take_orders`], and messages to entries out of
-/// [`Slots::next_message`].
+/// Events and `now` (time since boot, including suspensions) go in; [`Order`]s to the backend server come out
+/// of [`Slots::take_orders`], and messages to entries out of [`Slots::next_message`].
 #[derive(Debug)]
 pub struct Slots {
     bounds: Bounds,
     lease: Lease,
-    /// The number of the last end that was handled, in the count of the current incarnation. An end
-    /// is acknowledged only after that, because the backend server doesn't list an acknowledged end
-    /// again.
+    /// The number of the last end that was handled, in the count of the current incarnation. An end is
+    /// acknowledged only after that, because the backend server doesn't list an acknowledged end again.
     acknowledged: u64,
-    /// The backend server's clock in the newest listing of the current incarnation, in
-    /// milliseconds.
+    /// The backend server's clock in the newest listing of the current incarnation, in milliseconds.
     newest_listing_ms: u64,
     backend: Backend,
     /// Incarnations that have announced themselves and are being checked.
@@ -88,8 +85,8 @@
     dead_incarnations: HashSet<ServerIncarnation>,
     /// The number of the newest heartbeat of the current incarnation.
     last_heartbeat: u64,
-    /// Runs that were sent to the previous incarnation under the same id. Whether they run on the
-    /// current one isn't known until its first listing.
+    /// Runs that were sent to the previous incarnation under the same id. Whether they run on the current one
+    /// isn't known until its first listing.
     inherited: Vec<Run>,
     held: BTreeMap<Run, HeldRun>,
     waiting: BTreeSet<(u32, u64, Run)>,
@@ -105,8 +102,8 @@
     reserved_for_suspect: bool,
     /// The newest state of the agent's failure domain: evacuated or not.
     evacuation: evacuation::DomainState,
-    /// Whether the backend server may get work: it has answered recently, and no lease from before
-    /// outlasts the one that the agent would ask for.
+    /// Whether the backend server may get work: it has answered recently, and no lease from before outlasts the
+    /// one that the agent would ask for.
     reachable: bool,
     /// What the agent has done since its start.
     pub counts: Counts,
@@ -176,8 +173,8 @@
         &self.backend
     }
 
-    /// Returns the room that is neither used nor needed by waiting starts; none while it is
-    /// reserved for a suspect.
+    /// Returns the room that is neither used nor needed by waiting starts; none while it is reserved for a
+    /// suspect.
     pub fn free(&self) -> Room {
         if self.reserved_for_suspect {
             return Room::default();
@@ -212,9 +209,9 @@
         self.dispatch_waiting(now);
     }
 
-    /// Applies what an entry tells of the evacuation of the failure domain. While the domain is
-    /// evacuated nothing new starts, waiting starts are returned to their entries at once, and sent
-    /// runs continue. Returns whether the state has changed.
+    /// Applies what an entry tells of the evacuation of the failure domain. While the domain is evacuated
+    /// nothing new starts, waiting starts are returned to their entries at once, and sent runs continue.
+    /// Returns whether the state has changed.
     pub fn update_evacuation(
         &mut self,
         now: time::Duration,
@@ -306,8 +303,8 @@
             return;
         }
         held.must_end_since.get_or_insert(now);
-        // A start that is under way is stopped after its answer: a stop that overtook it would be
-        // answered before the run exists.
+        // A start that is under way is stopped after its answer: a stop that overtook it would be answered
+        // before the run exists.
         if held.state != State::Starting {
             self.send_stop(now, run);
         }
@@ -373,8 +370,7 @@
         self.lend_free_room(now);
     }
 
-    /// Whether an earlier run of the same task was sent and hasn't ended; a later run would run
-    /// beside it.
+    /// Whether an earlier run of the same task was sent and hasn't ended; a later run would run beside it.
     fn has_earlier_run(&self, run: &Run) -> bool {
         let first = Run {
             number: 0,
@@ -392,9 +388,9 @@
         if !self.held.get(run).is_some_and(fits) || self.has_earlier_run(run) {
             return;
         }
-        // The lease must cover the run from the moment of the order. If it were renewed only when
-        // the order is sent, the next check of the time bounds could find a run without a lease and
-        // give it up while the order is under way: its task would run here and elsewhere.
+        // The lease must cover the run from the moment of the order. If it were renewed only when the order is
+        // sent, the next check of the time bounds could find a run without a lease and give it up while the
+        // order is under way: its task would run here and elsewhere.
         let Some(lease_until_ms) = self.renew_lease(now) else {
             return;
         };
--- a/src/decide/besteffort/slots/order.rs
+++ b/src/decide/besteffort/slots/order.rs
@@ -6,11 +6,11 @@
 
 /// The incarnation that an order or a listing request is meant for.
 ///
-/// An order that is sent late must not be carried out by another incarnation: its run was given up
-/// together with the incarnation it was meant for, and its task may already run elsewhere. An
-/// incarnation with another id refuses an order that names the one before. For one with the same
-/// id, only the fence makes the difference: the first request to the new incarnation carries a
-/// larger fence, and from then on the backend server refuses what was decided for the one before.
+/// An order that is sent late must not be carried out by another incarnation: its run was given up together
+/// with the incarnation it was meant for, and its task may already run elsewhere. An incarnation with another
+/// id refuses an order that names the one before. For one with the same id, only the fence makes the
+/// difference: the first request to the new incarnation carries a larger fence, and from then on the backend
+/// server refuses what was decided for the one before.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recipient {
     /// The incarnation that is meant; any if its id is empty.
@@ -30,8 +30,7 @@
         run: Run,
         /// The input of its task.
         input: CompactString,
-        /// The end of the lease on the backend server, in milliseconds of the backend server's
-        /// clock.
+        /// The end of the lease on the backend server, in milliseconds of the backend server's clock.
         lease_until_ms: u64,
     },
     /// End a run, or make sure that it never begins.
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -1,5 +1,5 @@
-//! The agent's side of the connection to its backend server: the lease, and the answers to starts,
-//! stops and listings.
+//! The agent's side of the connection to its backend server: the lease, and the answers to starts, stops and
+//! listings.
 
 use std::collections::HashSet;
 use std::time;
@@ -11,13 +11,13 @@
     millis, HeldRun, Listing, Slots, StaleMessage, StartAnswer, State, STOP_RESEND_AFTER,
 };
 
-/// How long a renewal of the lease may go unanswered, in leases, before it is repeated by a listing
-/// of its own, because the listing that carried it is late.
+/// How long a renewal of the lease may go unanswered, in leases, before it is repeated by a listing of its own,
+/// because the listing that carried it is late.
 const RENEW_AGAIN_AFTER_LEASES: f64 = 0.4;
 
 impl Slots {
-    /// Ends all runs that were sent to the backend server, because the lease ran out or another
-    /// incarnation has answered.
+    /// Ends all runs that were sent to the backend server, because the lease ran out or another incarnation has
+    /// answered.
     pub(super) fn end_lost_runs(&mut self, now: time::Duration, why: &'static str) {
         let gone = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
         let gone: Vec<Run> = gone.map(|(run, _)| run.clone()).collect();
@@ -31,14 +31,14 @@
         }
     }
 
-    /// Renews the lease, and returns the end to ask for with the next listing or start, on the
-    /// backend server's clock in milliseconds.
+    /// Renews the lease, and returns the end to ask for with the next listing or start, on the backend server's
+    /// clock in milliseconds.
     ///
-    /// Returns none while a run continues that had to end, because its stop isn't answered or the
-    /// agent was paused and sent none. One lease covers all runs, and letting it run out is the
-    /// only way left to end that run before its task may start elsewhere. Returns none as well
-    /// before an incarnation is known: each one has its own clock, and a lease that was computed
-    /// with the clock of a crashed incarnation may last for minutes on the clock of the next.
+    /// Returns none while a run continues that had to end, because its stop isn't answered or the agent was
+    /// paused and sent none. One lease covers all runs, and letting it run out is the only way left to end that
+    /// run before its task may start elsewhere. Returns none as well before an incarnation is known: each one
+    /// has its own clock, and a lease that was computed with the clock of a crashed incarnation may last for
+    /// minutes on the clock of the next.
     pub fn renew_lease(&mut self, now: time::Duration) -> Option<u64> {
         if self.backend.incarnation.id.is_empty() {
             return None;
@@ -67,8 +67,7 @@
         self.acknowledged
     }
 
-    /// Whether something runs and the renewal of its lease is so late that a separate listing is
-    /// justified.
+    /// Whether something runs and the renewal of its lease is so late that a separate listing is justified.
     pub fn is_renewal_overdue(&self, now: time::Duration) -> bool {
         self.is_working()
             && self
@@ -81,8 +80,7 @@
         *self.counts.stale_messages.entry(message).or_default() += 1;
     }
 
-    /// Sets whether the backend server may get work, and logs a change. Nothing is started while it
-    /// may not.
+    /// Sets whether the backend server may get work, and logs a change. Nothing is started while it may not.
     pub(super) fn set_reachable(&mut self, now: time::Duration, reachable: bool) {
         if self.reachable == reachable {
             return;
@@ -125,9 +123,9 @@
         self.dispatch_waiting(now);
     }
 
-    /// Handles the answer to a stop: the run ends within the time that a stop may take, or never
-    /// begins. Returns whether a separate listing is needed. It is if the run may never have begun;
-    /// only an end that really happens is listed unasked.
+    /// Handles the answer to a stop: the run ends within the time that a stop may take, or never begins.
+    /// Returns whether a separate listing is needed. It is if the run may never have begun; only an end that
+    /// really happens is listed unasked.
     pub fn stop_answered(&mut self, now: time::Duration, run: &Run) -> bool {
         let Some(held) = self.held.get_mut(run) else {
             return false;
@@ -140,14 +138,12 @@
 
     /// Handles a listing of the current incarnation that was asked for at `sent`.
     ///
-    /// Two listings may be under way at a time, and the earlier one may arrive last. It is ignored:
-    /// a run in it may have ended since, and its clock would make the lease seem longer than what
-    /// was granted.
+    /// Two listings may be under way at a time, and the earlier one may arrive last. It is ignored: a run in it
+    /// may have ended since, and its clock would make the lease seem longer than what was granted.
     ///
-    /// A listing of another incarnation under the same id is the first sign of the new incarnation.
-    /// Its content isn't used, and another listing is requested, since this one was requested
-    /// without the new fence: an order for the incarnation before may still be carried out after
-    /// it.
+    /// A listing of another incarnation under the same id is the first sign of the new incarnation. Its content
+    /// isn't used, and another listing is requested, since this one was requested without the new fence: an
+    /// order for the incarnation before may still be carried out after it.
     pub fn listing_received(
         &mut self,
         now: time::Duration,
@@ -197,8 +193,8 @@
             self.order_stop(run);
         }
         let running: HashSet<&Run> = listing.running.iter().map(|(run, _)| run).collect();
-        // No order for the incarnation before is carried out any more, so a run that isn't listed
-        // here will never begin.
+        // No order for the incarnation before is carried out any more, so a run that isn't listed here will
+        // never begin.
         for run in std::mem::take(&mut self.inherited) {
             if !running.contains(&run) {
                 self.end_run(now, &run, RunOutcome::Gone);
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -1,4 +1,5 @@
-//! Who may claim the room that comes free: agents lend it to one entry, entries ask a few agents.
+//! Tests who gets room that becomes free: an agent lends it to one entry at a time, and an entry asks a few
+//! agents at a time.
 
 mod support;
 
@@ -18,7 +19,7 @@
     Duration::from_millis(at)
 }
 
-fn wants(priority: u32, urgency_ms: u64, tasks: u32) -> Option<WaitingWork> {
+fn work(priority: u32, urgency_ms: u64, tasks: u32) -> Option<WaitingWork> {
     Some(WaitingWork {
         priority,
         urgency_ms,
@@ -27,12 +28,17 @@
     })
 }
 
-/// An agent whose four places are taken by the first entry, and the entries that have connected.
-fn full(entries: &[&str]) -> Slots {
+/// Returns an agent whose four slots are used by the first entry, with all entries connected.
+fn full_agent(entries: &[&str]) -> Slots {
     let mut slots = Slots::open(Bounds::default());
     let check = slots.heartbeat_received(ms(START), heartbeat("life"));
-    let there = CheckResult::Answered(listed_at(START, Vec::new()));
-    assert!(slots.check_answered(ms(START), ms(START), &check.expect("a new life"), there));
+    let answer = CheckResult::Answered(listed_at(START, Vec::new()));
+    assert!(slots.check_answered(
+        ms(START),
+        ms(START),
+        &check.expect("a new incarnation"),
+        answer
+    ));
     for name in entries {
         slots.entry_connected(ms(START), &entry(name));
         slots.message_received(ms(START), &entry(name), START);
@@ -55,79 +61,81 @@
     }
 }
 
-/// One task of the first entry ends.
-fn one_ends(slots: &mut Slots, at: u64) {
+/// Ends one task of the first entry.
+fn end_one_run(slots: &mut Slots, at: u64) {
     let ended = vec![(besteffort::run("full", 1, 1), RunOutcome::Done)];
     slots.listing_received(ms(at), ms(at), listed_at(at, ended));
 }
 
-/// Callers' jobs take five starts a task in a burst, and thin entries stand still under the lines. A
-/// place comes free while three entries have work waiting; all hear of it, all send a start, and two
-/// of three come back. Only the entry with the most urgent work may hear of it.
+/// Guards against overload by needless starts: in a burst, a task took five starts, and entries with little
+/// processor time couldn't keep up with the messages. A slot becomes free while three entries have waiting
+/// work; if all are told, all send a start and two of three are returned. Only the entry with the most urgent
+/// work is told.
 #[test]
-fn a_place_that_comes_free_is_told_to_one_entry() {
-    let mut slots = full(&["a", "b", "c"]);
-    for (name, wants) in [
-        ("a", wants(1, 5, 2)),
-        ("b", wants(0, 9, 2)),
-        ("c", wants(0, 8, 2)),
+fn a_slot_that_becomes_free_is_lent_to_one_entry() {
+    let mut slots = full_agent(&["a", "b", "c"]);
+    for (name, work) in [
+        ("a", work(1, 5, 2)),
+        ("b", work(0, 9, 2)),
+        ("c", work(0, 8, 2)),
     ] {
-        slots.update_waiting_work(ms(START + 1), &entry(name), START, wants);
+        slots.update_waiting_work(ms(START + 1), &entry(name), START, work);
     }
-    one_ends(&mut slots, START + 10);
-    let told = ["a", "b", "c"].map(|name| {
-        let line = slots.next_message(&entry(name), ms(START + 10));
-        (line.lent, line.free)
+    end_one_run(&mut slots, START + 10);
+    let lent_and_free = ["a", "b", "c"].map(|name| {
+        let message = slots.next_message(&entry(name), ms(START + 10));
+        (message.lent, message.free)
     });
     let none = Room::default();
-    assert_eq!(told.map(|(lent, _)| lent), [none, none, NEED]);
-    assert_eq!(told.map(|(_, free)| free.cpu), [0, 0, NEED.cpu]);
+    assert_eq!(lent_and_free.map(|(lent, _)| lent), [none, none, NEED]);
+    assert_eq!(lent_and_free.map(|(_, free)| free.cpu), [0, 0, NEED.cpu]);
 }
 
-/// A worker stands idle while callers are refused: its free place is kept for an entry whose work went
-/// elsewhere meanwhile. The entry's next line says so, and the place goes on at once.
+/// Guards against an idle worker while callers are refused: a free slot was reserved for an entry whose work
+/// went elsewhere meanwhile. The entry's next message tells so, and the slot is lent to the next entry at once.
 #[test]
-fn room_that_isn_t_used_goes_to_the_next() {
-    let mut slots = full(&["a", "b"]);
-    slots.update_waiting_work(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
-    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
-    one_ends(&mut slots, START + 10);
+fn an_unused_loan_goes_to_the_next_entry() {
+    let mut slots = full_agent(&["a", "b"]);
+    slots.update_waiting_work(ms(START + 1), &entry("a"), START, work(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, work(1, 5, 1));
+    end_one_run(&mut slots, START + 10);
     assert_eq!(slots.next_message(&entry("a"), ms(START + 10)).lent, NEED);
     assert!(!slots.has_unsent(&entry("b")));
-    // A line that left before the place was offered says nothing about it.
-    slots.update_waiting_work(ms(START + 11), &entry("a"), START + 9, wants(0, 5, 1));
+    // A message that was written before the entry heard of the loan doesn't end it.
+    slots.update_waiting_work(ms(START + 11), &entry("a"), START + 9, work(0, 5, 1));
     assert!(!slots.has_unsent(&entry("b")));
     slots.update_waiting_work(ms(START + 12), &entry("a"), START + 10, None);
     assert!(slots.has_unsent(&entry("b")));
     assert_eq!(slots.next_message(&entry("b"), ms(START + 12)).lent, NEED);
 }
 
-/// The same where the entry doesn't answer at all, since it is stopped or cut off.
+/// Guards against an idle worker because its free slot stays reserved for an entry that doesn't answer, since
+/// it is stopped or cut off.
 #[test]
-fn room_isn_t_kept_for_an_entry_that_doesn_t_answer() {
-    let mut slots = full(&["a", "b"]);
-    slots.update_waiting_work(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
-    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
-    one_ends(&mut slots, START + 10);
+fn a_loan_to_an_entry_that_doesn_t_answer_expires() {
+    let mut slots = full_agent(&["a", "b"]);
+    slots.update_waiting_work(ms(START + 1), &entry("a"), START, work(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, work(1, 5, 1));
+    end_one_run(&mut slots, START + 10);
     assert_eq!(slots.next_message(&entry("a"), ms(START + 10)).lent, NEED);
     slots.message_received(ms(START + 30), &entry("a"), START + 5);
     slots.tick(ms(START + 40));
-    // What is lent lapses, and the first entry still is the most urgent one that asks.
+    // The loan has expired, and the first entry is still the most urgent one that asks.
     assert_eq!(slots.next_message(&entry("a"), ms(START + 40)).lent, NEED);
     slots.update_waiting_work(ms(START + 41), &entry("a"), START + 40, None);
     assert_eq!(slots.next_message(&entry("b"), ms(START + 41)).lent, NEED);
 }
 
-/// A start that comes for a loan takes the place, whoever asked meanwhile.
+/// A start that uses a loan gets the slot, even if more urgent work has asked since.
 #[test]
-fn a_start_takes_the_place_that_was_kept_for_it() {
-    let mut slots = full(&["a", "b"]);
-    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(1, 5, 1));
-    one_ends(&mut slots, START + 10);
+fn a_start_uses_the_loan_of_its_entry() {
+    let mut slots = full_agent(&["a", "b"]);
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, work(1, 5, 1));
+    end_one_run(&mut slots, START + 10);
     assert_eq!(slots.next_message(&entry("b"), ms(START + 10)).lent, NEED);
     slots.next_message(&entry("a"), ms(START + 10));
-    slots.update_waiting_work(ms(START + 11), &entry("a"), START, wants(0, 1, 1));
-    assert!(!slots.has_unsent(&entry("a")), "the place is kept");
+    slots.update_waiting_work(ms(START + 11), &entry("a"), START, work(0, 1, 1));
+    assert!(!slots.has_unsent(&entry("a")), "the slot is reserved");
     slots.take_orders();
     let run = besteffort::run("lent", 0, 1);
     let start = besteffort::start(run.clone(), START + 12);
@@ -137,8 +145,8 @@
     assert!(!slots.has_unsent(&entry("a")), "nothing is left to lend");
 }
 
-/// An entry with 68 agents writes to all of them each time that work begins to wait, which a thin entry
-/// can't carry. It asks a few, and more of them only while work still waits.
+/// Guards against an entry that writes to all of its 68 agents whenever work begins to wait, for which its
+/// share of a core isn't enough. It asks a few agents, and more of them only while work still waits.
 #[test]
 fn a_few_agents_are_asked_at_a_time() {
     let links: BTreeMap<u64, ()> = (1..=20).map(|link| (link, ())).collect();
@@ -159,29 +167,29 @@
     }
     assert!(
         asking.links_to_ask(ms(START + 20), 1, &links).is_empty(),
-        "all know"
+        "all agents know"
     );
     let urgent = asking.links_to_ask(ms(START + 30), 0, &links);
-    assert_eq!(urgent.len(), 6, "not that it is urgent");
+    assert_eq!(urgent.len(), 6, "they don't know the urgency");
     asking.message_sent(3, None);
     asking.link_closed(4);
     assert_eq!(asking.links_to_ask(ms(START + 40), 1, &links), [3, 4]);
 }
 
-/// Callers are refused although their work had time: an entry reckoned with a third of the workers, as
-/// three entries are there, while the other two had nothing waiting.
+/// Guards against refused callers whose work would have met its target: an entry expected a third of the
+/// workers because there are three entries, though the other two had no work waiting.
 #[test]
 fn only_entries_with_work_waiting_compete() {
-    let mut slots = full(&["a", "b", "c"]);
+    let mut slots = full_agent(&["a", "b", "c"]);
     let sharers = |slots: &mut Slots| {
         ["a", "b", "c"].map(|name| slots.next_message(&entry(name), ms(START + 2)).sharers)
     };
     assert_eq!(sharers(&mut slots), [1, 1, 1]);
-    slots.update_waiting_work(ms(START + 1), &entry("a"), START, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("a"), START, work(0, 5, 1));
     assert_eq!(sharers(&mut slots), [1, 2, 2]);
-    slots.update_waiting_work(ms(START + 1), &entry("b"), START, wants(0, 5, 1));
+    slots.update_waiting_work(ms(START + 1), &entry("b"), START, work(0, 5, 1));
     assert_eq!(sharers(&mut slots), [2, 2, 3]);
     slots.message_received(ms(START + 500), &entry("a"), START + 500);
     let late = slots.next_message(&entry("a"), ms(START + 500));
-    assert_eq!(late.sharers, 1, "the other one isn't heard any more");
+    assert_eq!(late.sharers, 1, "the other entry is silent");
 }
--- a/tests/besteffort_returns.rs
+++ b/tests/besteffort_returns.rs
@@ -1,5 +1,5 @@
-//! A backend server that comes back under the id that it had, knowing nothing, its counts and its clock
-//! begun anew: what its agent takes from it, and what it gives up.
+//! Tests a backend server that restarts under its previous id: it knows nothing, and its counters and its clock
+//! begin anew. The tests show what its agent accepts from it and which runs the agent gives up.
 
 mod support;
 
@@ -16,7 +16,8 @@
 use support::besteffort::{self, entry, run};
 
 const START: u64 = 10_000;
-/// When lives began. The later one names an earlier time: the time of day was set back in between.
+/// When the incarnations began. The second one began later, but at an earlier time of day, because that was set
+/// back.
 const FIRST: u64 = 5_000;
 const SECOND: u64 = 4_000;
 const THIRD: u64 = 6_000;
@@ -48,44 +49,45 @@
 
 fn announce(slots: &mut Slots, at: u64, heartbeat: Heartbeat) -> Check {
     let check = slots.heartbeat_received(ms(at), heartbeat);
-    check.expect("a life that isn't known is asked for")
+    check.expect("an unknown incarnation is checked")
 }
 
-/// An agent that knows the first life, whose heartbeats have come to 20 and whose clock to [`START`].
+/// Returns an agent that knows the first incarnation, whose newest heartbeat has number 20 and whose clock is
+/// at [`START`].
 fn open() -> Slots {
     let mut slots = Slots::open(Bounds::default());
     let check = announce(&mut slots, START, heartbeat(FIRST, 20, true));
-    let there = CheckResult::Answered(listing(FIRST, START, &[]));
-    assert!(slots.check_answered(ms(START), ms(START), &check, there));
+    let answer = CheckResult::Answered(listing(FIRST, START, &[]));
+    assert!(slots.check_answered(ms(START), ms(START), &check, answer));
     slots.entry_connected(ms(START), &name());
     slots.message_received(ms(START), &name(), START);
     slots
 }
 
-/// Orders a start; its answer is still to come.
+/// Orders a start that isn't answered yet.
 fn order(slots: &mut Slots, at: u64, run: &Run) {
     slots.start_requested(ms(at), &name(), true, besteffort::start(run.clone(), at));
     let orders = slots.take_orders();
     assert!(matches!(&orders[..], [Order::Start { run: begun, .. }] if begun == run));
 }
 
-/// The second life answers a question that names it; it has no run under way.
-fn take_up_second(slots: &mut Slots, at: u64, takes_work: bool) {
+/// Announces the second incarnation and answers the check of it, without any run.
+fn adopt_second_incarnation(slots: &mut Slots, at: u64, takes_work: bool) {
     let check = announce(slots, at, heartbeat(SECOND, 1, takes_work));
-    let there = CheckResult::Answered(listing(SECOND, 7, &[]));
-    assert!(slots.check_answered(ms(at), ms(at), &check, there));
+    let answer = CheckResult::Answered(listing(SECOND, 7, &[]));
+    assert!(slots.check_answered(ms(at), ms(at), &check, answer));
 }
 
 fn ends(slots: &mut Slots, at: u64) -> Vec<(Run, RunOutcome)> {
     besteffort::ends(slots, &name(), ms(at))
 }
 
-/// Work goes to a backend server that has said that it leaves. It had come back under its id; its
-/// heartbeats, numbered anew, passed for late ones of the life before and were acknowledged all the same.
+/// Guards against work on a backend server that has announced that it leaves. It had restarted under its id,
+/// and its newly numbered heartbeats were acknowledged but ignored as late ones of the incarnation before.
 #[test]
-fn heartbeats_are_numbered_within_a_life() {
+fn heartbeats_are_numbered_within_an_incarnation() {
     let mut slots = open();
-    take_up_second(&mut slots, START + 1, true);
+    adopt_second_incarnation(&mut slots, START + 1, true);
     slots.listing_received(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
     assert!(slots.advertised_backend().takes_work);
     assert_eq!(
@@ -93,7 +95,7 @@
         None
     );
     assert!(!slots.advertised_backend().takes_work, "it leaves");
-    // Late ones, of this life and of the one before.
+    // Late heartbeats of this incarnation and of the one before.
     assert_eq!(
         slots.heartbeat_received(ms(START + 5), heartbeat(SECOND, 1, true)),
         None
@@ -106,12 +108,12 @@
     assert_eq!(slots.counts.stale_messages[&StaleMessage::Heartbeat], 2);
 }
 
-/// A healthy backend server gets nothing: the life before had said that it leaves, and that word comes
-/// once more after the next life has announced itself.
+/// Guards against a healthy backend server without work: the incarnation before had announced that it leaves,
+/// and that announcement arrives again after the next incarnation has announced itself.
 #[test]
-fn the_leave_of_the_life_before_isn_t_that_of_the_next() {
+fn the_leave_of_the_incarnation_before_isn_t_that_of_the_next() {
     let mut slots = open();
-    take_up_second(&mut slots, START + 1, true);
+    adopt_second_incarnation(&mut slots, START + 1, true);
     slots.listing_received(ms(START + 3), ms(START + 2), listing(SECOND, 8, &[]));
     slots.heartbeat_received(ms(START + 4), heartbeat(FIRST, 22, false));
     let first = ServerIncarnation {
@@ -120,23 +122,24 @@
     };
     slots.server_left(ms(START + 5), &first);
     assert!(slots.advertised_backend().takes_work);
-    // A leave that names no life may be that of either; the living one's next word sets it right.
+    // A leave without a start time may come from either; the next heartbeat of the current incarnation corrects
+    // it.
     slots.server_left(ms(START + 6), &ServerIncarnation::with_id("server"));
     assert!(!slots.advertised_backend().takes_work);
     slots.heartbeat_received(ms(START + 7), heartbeat(SECOND, 2, true));
     assert!(slots.advertised_backend().takes_work);
 }
 
-/// A healthy backend server gets no work for as long as it lives: its clock began anew below that of the
-/// life before, and all that it lists passed for overtaken.
+/// Guards against a healthy backend server that never gets work: its clock restarted below that of the
+/// incarnation before, so that all of its listings were ignored as overtaken.
 #[test]
-fn a_listing_tells_of_the_next_life_before_its_heartbeat_does() {
+fn a_listing_shows_the_next_incarnation_before_its_heartbeat() {
     let mut slots = open();
     slots.listing_received(ms(START + 2), ms(START + 1), listing(SECOND, 7, &[]));
     assert_eq!(slots.server_incarnation().born_ms, Some(SECOND));
     assert!(
         !slots.advertised_backend().takes_work,
-        "nobody knows yet what it is"
+        "its state isn't known yet"
     );
     slots.listing_received(ms(START + 4), ms(START + 3), listing(SECOND, 9, &[]));
     assert_eq!(
@@ -146,10 +149,10 @@
     assert!(slots.advertised_backend().takes_work);
 }
 
-/// A life that leaves gets work: its heartbeat had come, the question whether it is there had no answer,
-/// and an earlier heartbeat that was late came after both.
+/// Guards against work on an incarnation that leaves. Its heartbeat arrived, the check of it had no answer, and
+/// then an older heartbeat arrived late.
 #[test]
-fn a_life_that_could_not_be_asked_is_remembered_as_leaving() {
+fn an_incarnation_whose_check_had_no_answer_is_remembered_as_leaving() {
     let mut slots = open();
     let check = announce(&mut slots, START + 1, heartbeat(SECOND, 2, false));
     slots.check_answered(
@@ -167,10 +170,10 @@
     assert!(!slots.advertised_backend().takes_work);
 }
 
-/// The same, after two crashes in a row: the life in between is found by its listing while the one after it
-/// is still asked whether it is there.
+/// Guards against work on an incarnation that leaves, after two crashes in a row: a listing shows the
+/// incarnation in between while the one after it is still being checked.
 #[test]
-fn the_leave_of_the_life_after_next_is_remembered() {
+fn the_leave_of_the_incarnation_after_next_is_remembered() {
     let mut slots = open();
     announce(&mut slots, START + 1, heartbeat(THIRD, 5, false));
     slots.listing_received(ms(START + 2), ms(START + 1), listing(SECOND, 7, &[]));
@@ -185,16 +188,17 @@
     assert!(!slots.advertised_backend().takes_work);
 }
 
-/// A caller's approval runs twice. A start was on its way as the backend server crashed, and the next life
-/// under the same id took it for its own. Given up with the life before, its task started elsewhere.
+/// Guards against two runs of one task. A start was under way when the backend server crashed, and the next
+/// incarnation under the same id accepted it. If the run was given up with the incarnation before, its task
+/// started elsewhere.
 #[test]
-fn a_start_that_the_next_life_took_isn_t_given_up() {
+fn a_start_that_the_next_incarnation_accepted_isn_t_given_up() {
     let mut slots = open();
     let (taken, lost) = (run("taken", 0, 1), run("lost", 0, 2));
     order(&mut slots, START, &taken);
     order(&mut slots, START, &lost);
-    take_up_second(&mut slots, START + 1, true);
-    assert_eq!(ends(&mut slots, START + 1), [], "nobody knows yet");
+    adopt_second_incarnation(&mut slots, START + 1, true);
+    assert_eq!(ends(&mut slots, START + 1), [], "not decided yet");
     slots.start_answered(ms(START + 2), &taken, StartAnswer::Accepted);
     slots.listing_received(
         ms(START + 4),
@@ -208,10 +212,10 @@
     assert_eq!(ends(&mut slots, START + 25), [(taken, RunOutcome::Done)]);
 }
 
-/// The same, where the order is carried out after the first word of the next life. What was decided for
-/// the life before has a smaller fence than the first question to the next one.
+/// Guards against two runs of one task, if an order is carried out after the first call to the next
+/// incarnation. What was decided for the incarnation before has a smaller fence than that call.
 #[test]
-fn the_fence_rises_with_each_life() {
+fn the_fence_rises_with_each_incarnation() {
     let mut slots = open();
     slots.start_requested(
         ms(START),
@@ -222,18 +226,18 @@
     let late = slots.take_orders();
     let before = slots.recipient();
     assert!(matches!(&late[..], [Order::Start { to, .. }] if *to == before));
-    take_up_second(&mut slots, START + 1, true);
+    adopt_second_incarnation(&mut slots, START + 1, true);
     assert!(slots.recipient().fence > before.fence);
 }
 
-/// A task runs on for a second after its agent has died, beside its successor elsewhere: a renewal for the
-/// life before had reached the next one, and gave it the longest lease that there is. Nothing starts under
-/// it before it is no longer than a lease of the agent's own.
+/// Guards against a run that continues for a second after its agent has died, beside its successor elsewhere: a
+/// renewal for the incarnation before reached the next one and gave it the longest possible lease. Nothing
+/// starts until that lease ends no later than a new lease would.
 #[test]
-fn nothing_starts_under_the_lease_of_the_life_before() {
+fn nothing_starts_under_the_lease_of_the_incarnation_before() {
     let mut slots = open();
     slots.renew_lease(ms(START)).expect("its clock is known");
-    take_up_second(&mut slots, START + 1, true);
+    adopt_second_incarnation(&mut slots, START + 1, true);
     slots.listing_received(ms(START + 3), ms(START + 2), listing(SECOND, 9, &[]));
     assert!(!slots.advertised_backend().takes_work);
     let bounds = Bounds::default();
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -1,5 +1,5 @@
-//! Room that shrinks, to nothing too, and grows while a backend server runs: what it says is heard, what waits
-//! goes elsewhere, and callers aren't told that a job never fits.
+//! Tests room that shrinks, even to nothing, and grows while a backend server runs: the agent applies each
+//! announced size, returns the starts that don't fit any more, and callers aren't told that a job never fits.
 
 mod support;
 
@@ -27,24 +27,24 @@
 
 const START: u64 = 10_000;
 
-/// Heartbeats of the seeded series.
+/// Number of heartbeats in the seeded series.
 const HEARTBEATS: u64 = 300;
 
 fn ms(at: u64) -> Duration {
     Duration::from_millis(at)
 }
 
-async fn say(addr: SocketAddr, body: String) -> u16 {
+async fn post_heartbeat(addr: SocketAddr, body: String) -> u16 {
     let uri = format!("http://{addr}/-/instances/life/heartbeat");
     let call = Call::new(Method::POST, uri, body);
     let answer = http::open(1 << 20).call(call, support::HANG).await;
     answer.expect("an answer").status.as_u16()
 }
 
-/// Work is started on a backend server that has no room left, or has said that it leaves: its word was
-/// taken for another writer's, since it named a room of nothing.
+/// Guards against starts on a backend server that has no room left or has announced that it leaves: its
+/// heartbeat was rejected as another writer's, because it announced a size of zero.
 #[test]
-fn whatever_a_backend_server_says_of_its_room_is_heard() {
+fn every_announced_size_is_applied() {
     support::block_on(async {
         let calls = Calls::default();
         let cfg = agent::Config {
@@ -65,13 +65,13 @@
             let mut pick = || *sizes.choose(&mut rng).expect("there are some");
             let (cpu, mem, gpu) = (pick(), pick(), pick() % 2);
             let ready = rng.random_range(0..4) > 0;
-            let beat = json!({"service": "svc", "addr": "127.0.0.1:9", "zone": "z", "version": "v1",
+            let body = json!({"service": "svc", "addr": "127.0.0.1:9", "zone": "z", "version": "v1",
                 "slots": 8, "state": if ready { "ready" } else { "draining" }, "cold_left_ms": 0,
                 "labels": ["a"], "clock_ms": 5, "seq": seq, "remaining_ms": 0,
                 "capacity": {"cpu": cpu, "mem_mb": mem, "gpu": gpu}});
-            assert_eq!(say(addr, beat.to_string()).await, 200, "{beat}");
+            assert_eq!(post_heartbeat(addr, body.to_string()).await, 200, "{body}");
             if seq == 1 {
-                support::until("the life is known", || {
+                support::until("the incarnation is known", || {
                     agent.server_incarnation().id == "life"
                 })
                 .await;
@@ -82,7 +82,7 @@
                 memory_mb: mem,
                 accelerators: gpu,
             };
-            assert_eq!((known.size, known.takes_work), (size, ready), "{beat}");
+            assert_eq!((known.size, known.takes_work), (size, ready), "{body}");
         }
         listing.abort();
         first.abort();
@@ -105,12 +105,17 @@
     }
 }
 
-/// An agent of a backend server with four places, and two entries that are heard.
+/// Returns an agent of a backend server with four slots, and two entries that are connected.
 fn open() -> (Slots, [EntryIncarnation; 2]) {
     let mut slots = Slots::open(Bounds::default());
     let check = slots.heartbeat_received(ms(START), heartbeat("life"));
-    let there = CheckResult::Answered(listed_at(START, &[]));
-    assert!(slots.check_answered(ms(START), ms(START), &check.expect("a new life"), there));
+    let answer = CheckResult::Answered(listed_at(START, &[]));
+    assert!(slots.check_answered(
+        ms(START),
+        ms(START),
+        &check.expect("a new incarnation"),
+        answer
+    ));
     let names = [entry("a"), entry("b")];
     for name in &names {
         slots.entry_connected(ms(START), name);
@@ -137,14 +142,14 @@
     run
 }
 
-/// Work waits for room at a backend server that has shrunk, though others have some; and room that is
-/// gone is still lent.
+/// Guards against starts that keep waiting at a backend server that has shrunk, though others have room, and
+/// against loans of room that is gone.
 #[test]
-fn what_waits_goes_elsewhere_as_soon_as_room_shrinks() {
+fn unfitting_starts_are_returned_as_soon_as_room_shrinks() {
     let (mut slots, [a, b]) = open();
     let runs: Vec<Run> = (0..4).map(|n| begin(&mut slots, &a, n)).collect();
     let waiting = begin(&mut slots, &a, 4);
-    assert_eq!(ends(&mut slots, &a, ms(START)), [], "it waits for a place");
+    assert_eq!(ends(&mut slots, &a, ms(START)), [], "it waits for room");
     resize(&mut slots, START + 10, 2, 2_000);
     assert_eq!(
         ends(&mut slots, &a, ms(START + 10)),
@@ -162,24 +167,24 @@
         listed_at(START + 20, &runs[..1]),
     );
     resize(&mut slots, START + 20, 3, 4_000);
-    let wants = WaitingWork {
+    let work = WaitingWork {
         priority: 0,
         urgency_ms: START,
         need: NEED,
         tasks: 2,
     };
-    slots.update_waiting_work(ms(START + 20), &b, START, Some(wants));
+    slots.update_waiting_work(ms(START + 20), &b, START, Some(work));
     assert_eq!(slots.next_message(&b, ms(START + 20)).lent.cpu, 2_000);
     resize(&mut slots, START + 21, 4, 0);
-    let line = slots.next_message(&a, ms(START + 21));
+    let message = slots.next_message(&a, ms(START + 21));
     assert_eq!(
-        (line.free.cpu, line.lent.cpu),
+        (message.free.cpu, message.lent.cpu),
         (-1_000, 0),
         "nothing is lent"
     );
 }
 
-/// Room that has grown back stands idle.
+/// Guards against room that has grown back and isn't used.
 #[test]
 fn room_that_grows_is_used_at_once() {
     let (mut slots, [a, _]) = open();
@@ -203,7 +208,7 @@
     assert_eq!(slots.take_orders().len(), 1);
 }
 
-fn ask(job: &str, cpu: i64) -> Submission {
+fn submission(job: &str, cpu: i64) -> Submission {
     Submission {
         job: job.into(),
         class: "class".into(),
@@ -225,8 +230,8 @@
     }
 }
 
-fn say_room(board: &mut Board, at: u64, cpu: i64) {
-    let line = AgentMessage {
+fn announce_size(board: &mut Board, at: u64, cpu: i64) {
+    let message = AgentMessage {
         free: size(cpu),
         sharers: 1,
         backend: Some(Backend {
@@ -235,10 +240,11 @@
         }),
         ..AgentMessage::default()
     };
-    board.handle_message(ms(at), 1, &line);
+    board.handle_message(ms(at), 1, &message);
 }
 
-/// A caller is told that its job fits nowhere, though its backend servers have only shrunk for a while.
+/// Guards against telling a caller that its job fits nowhere, though the backend servers have shrunk only for a
+/// while.
 #[test]
 fn a_job_that_fits_only_larger_backend_servers_is_told_to_come_back() {
     let mut board = Board::open("entry", "domain", Bounds::default(), Policy::default());
@@ -251,9 +257,9 @@
         ended: Vec::new(),
     };
     board.agent_up(ms(START), 1, &hello);
-    say_room(&mut board, START, 4_000);
+    announce_size(&mut board, START, 4_000);
     let refused = |board: &mut Board, at: u64, job: &str, cpu: i64| match board
-        .submit(ms(at), ask(job, cpu))
+        .submit(ms(at), submission(job, cpu))
     {
         SubmitResult::Answered(Outcome::NotRun(why, _)) => Some(why),
         _ => None,
@@ -263,7 +269,7 @@
         refused(&mut board, START, "large", 5_000),
         Some(NotRunReason::NoFit)
     );
-    say_room(&mut board, START + 1_000, 0);
+    announce_size(&mut board, START + 1_000, 0);
     assert_eq!(
         refused(&mut board, START + 1_000, "next", 3_000),
         Some(NotRunReason::Shrunk)
@@ -272,6 +278,6 @@
         refused(&mut board, START + 1_000, "larger", 5_000),
         Some(NotRunReason::NoFit)
     );
-    say_room(&mut board, START + 2_000, 4_000);
+    announce_size(&mut board, START + 2_000, 4_000);
     assert_eq!(refused(&mut board, START + 2_000, "again", 3_000), None);
 }
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -1,4 +1,5 @@
-//! What an agent holds: starts, stops and ends under loss, and the lease that covers them.
+//! Tests the agent's decisions on runs: starts, stops and ends when messages are lost, and the lease that
+//! covers the runs.
 
 mod support;
 
@@ -31,7 +32,7 @@
     besteffort::run("job", task, number)
 }
 
-/// Half of the backend server is asked for.
+/// Returns a start that needs half of the backend server.
 fn start(run: Run, at: u64) -> Start {
     Start {
         need: Room {
@@ -60,18 +61,18 @@
     }
 }
 
-/// A life announces itself, and is there when it is asked.
-fn take_up(slots: &mut Slots, at: u64, life: &str) {
-    let check = slots.heartbeat_received(ms(at), heartbeat(life));
-    let check = check.expect("a new life is checked");
-    let there = CheckResult::Answered(listing(at, &[]));
-    assert!(slots.check_answered(ms(at), ms(at), &check, there));
+/// Announces an incarnation, and answers the check of it.
+fn adopt_incarnation(slots: &mut Slots, at: u64, id: &str) {
+    let check = slots.heartbeat_received(ms(at), heartbeat(id));
+    let check = check.expect("a new incarnation is checked");
+    let answer = CheckResult::Answered(listing(at, &[]));
+    assert!(slots.check_answered(ms(at), ms(at), &check, answer));
 }
 
-/// An agent with a backend server that was heard, and an entry that has connected.
+/// Returns an agent with a known backend server and one connected entry.
 fn open() -> Slots {
     let mut slots = Slots::open(Bounds::default());
-    take_up(&mut slots, START, "life");
+    adopt_incarnation(&mut slots, START, "life");
     slots.entry_connected(ms(START), &entry(1));
     slots
 }
@@ -88,11 +89,11 @@
     besteffort::ends(slots, &entry(1), ms(at))
 }
 
-/// Two runs of one task. A backend server has just started anew, so that no lease was granted yet.
-/// A start is ordered, and the time bounds are looked at before the order has left: the run was
-/// given up for want of a lease, and its task started elsewhere while the order was carried out.
+/// Guards against two runs of one task. A new backend server has no lease yet. If the time bounds were checked
+/// between the decision on a start and the sending of its order, the agent gave the run up for lack of a lease,
+/// and its task started elsewhere while the order was carried out.
 #[test]
-fn a_start_on_its_way_has_a_lease() {
+fn a_start_under_way_is_covered_by_the_lease() {
     let mut slots = open();
     slots.message_received(ms(START), &entry(1), START);
     slots.start_requested(ms(START), &entry(1), true, start(run(0, 1), START));
@@ -101,11 +102,10 @@
     assert!(slots.is_working());
 }
 
-/// Two runs of one task. The entry has fallen silent, and the stops of its run go unanswered one
-/// after the other; the agent kept renewing the lease for other runs, and with it that of the run
-/// that the entry counts as ended by now.
+/// Guards against two runs of one task. When the entry is silent and the stops of its run go unanswered, the
+/// agent kept renewing the lease for other runs, and thereby for the run that the entry counts as ended.
 #[test]
-fn the_lease_runs_out_under_a_run_that_no_stop_ends() {
+fn the_lease_isn_t_renewed_while_the_stops_of_a_run_go_unanswered() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     let silent = START + Bounds::default().silence.as_millis() as u64;
@@ -122,15 +122,15 @@
     slots.stop_answered(ms(overdue), &run(0, 1));
     assert!(
         slots.renew_lease(ms(overdue)).is_some(),
-        "stopped after all"
+        "the run was stopped"
     );
 }
 
-/// Two runs of one task. An agent is frozen while its entry gives it up, wakes before the lease has
-/// run out, renews it at once, and dies as its stop is on the way: the run went on for another whole
-/// lease, past the time at which the entry starts its task elsewhere.
+/// Guards against two runs of one task. An agent is paused while its entry gives it up, resumes before the
+/// lease has run out, renews the lease at once, and dies while its stop is under way: the run continued for
+/// another whole lease, beyond the time at which the entry starts its task elsewhere.
 #[test]
-fn an_agent_that_wakes_late_doesn_t_renew_what_must_end() {
+fn a_resumed_agent_doesn_t_renew_the_lease_of_runs_that_must_end() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     slots.listing_received(
@@ -143,7 +143,7 @@
     assert_eq!(slots.renew_lease(ms(woken)), None);
 }
 
-/// A stop that nobody answers is sent again, and soon: an order may be carried out seconds late.
+/// Guards against a lost stop. It is sent again soon, since an order may be carried out seconds late.
 #[test]
 fn a_stop_without_an_answer_is_sent_again() {
     let mut slots = open();
@@ -157,10 +157,10 @@
     assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
 }
 
-/// A task is said not to run, and runs: its start had no answer and is carried out seconds later.
-/// Such a run counts as there until a stop is answered and a later listing doesn't name it.
+/// Guards against a task that is reported as not run but runs: its start had no answer and is carried out
+/// seconds later. The run counts as present until a stop is answered and a later listing doesn't contain it.
 #[test]
-fn a_start_without_an_answer_is_closed_before_it_is_given_up() {
+fn a_start_without_an_answer_is_stopped_before_its_run_is_given_up() {
     let mut slots = open();
     slots.message_received(ms(START), &entry(1), START);
     slots.start_requested(ms(START), &entry(1), true, start(run(0, 1), START));
@@ -168,7 +168,7 @@
     slots.start_answered(ms(START + 150), &run(0, 1), StartAnswer::Unknown);
     assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
     slots.listing_received(ms(START + 160), ms(START + 155), listing(START + 160, &[]));
-    assert_eq!(ends(&mut slots, START + 160), [], "not closed yet");
+    assert_eq!(ends(&mut slots, START + 160), [], "not stopped yet");
     slots.stop_answered(ms(START + 170), &run(0, 1));
     slots.listing_received(ms(START + 175), ms(START + 165), listing(START + 175, &[]));
     assert_eq!(
@@ -183,10 +183,10 @@
     );
 }
 
-/// A backend server that guards its room refuses what doesn't fit, and one that doesn't is
-/// overloaded: room comes free only when an end was listed, also for runs that were stopped.
+/// Guards against starts on a full backend server: one that checks its room refuses them, another one is
+/// overloaded. Room is freed only when an end is listed, also that of a stopped run.
 #[test]
-fn room_comes_free_with_the_listed_end() {
+fn room_is_freed_by_the_listed_end() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     begin(&mut slots, START, run(1, 2));
@@ -195,7 +195,7 @@
     slots.withdraw(ms(START + 5), &entry(1), &run(0, 1));
     slots.take_orders();
     slots.stop_answered(ms(START + 6), &run(0, 1));
-    assert_eq!(slots.take_orders(), [], "stopped isn't ended");
+    assert_eq!(slots.take_orders(), [], "a stopped run hasn't ended");
     let mut ended = listing(START + 8, &[run(1, 2)]);
     ended.ended.push((run(0, 1), RunOutcome::Gone));
     slots.listing_received(ms(START + 8), ms(START + 7), ended);
@@ -204,8 +204,8 @@
     );
 }
 
-/// New work reaches a backend server after it said that it leaves: nothing is started from that
-/// moment on, and what waited here goes back to its entry at once.
+/// Guards against new work on a backend server that has announced that it leaves. From then on nothing is
+/// started, and waiting starts are returned to their entry at once.
 #[test]
 fn nothing_starts_on_a_backend_server_that_leaves() {
     let mut slots = open();
@@ -217,19 +217,19 @@
     assert_eq!(slots.heartbeat_received(ms(START + 5), leaving), None);
     slots.start_requested(ms(START + 6), &entry(1), true, start(run(3, 4), START));
     assert_eq!(slots.take_orders(), []);
-    let bounced = [
+    let returned = [
         (run(2, 3), RunOutcome::NotRun),
         (run(3, 4), RunOutcome::NotRun),
     ];
-    assert_eq!(ends(&mut slots, START + 6), bounced);
-    assert!(slots.is_working(), "what runs goes on");
+    assert_eq!(ends(&mut slots, START + 6), returned);
+    assert!(slots.is_working(), "sent runs continue");
 }
 
-/// A word of a backend server's earlier life that arrives late brings the dead one back.
+/// Guards against a late heartbeat that makes a dead incarnation of the backend server the current one.
 #[test]
-fn an_earlier_life_doesn_t_come_back() {
+fn a_late_heartbeat_of_a_dead_incarnation_is_ignored() {
     let mut slots = open();
-    take_up(&mut slots, START + 1, "next");
+    adopt_incarnation(&mut slots, START + 1, "next");
     assert_eq!(
         slots.heartbeat_received(ms(START + 2), heartbeat("life")),
         None
@@ -237,11 +237,12 @@
     assert_eq!(slots.server_incarnation().id, "next");
 }
 
-/// A caller's approval runs twice, and a healthy backend server gets no work for good. It had crashed
-/// twice in a row; a word of the life in the middle, which the agent had never heard of, comes late.
-/// It was believed: what ran was given up and started elsewhere, and the living one passed for dead.
+/// Guards against two runs of one task, and a healthy backend server that never gets work again. The backend
+/// server crashed twice in a row, and a heartbeat of the incarnation in between, which the agent doesn't know,
+/// arrives late. If the agent believed it, it gave up its runs, whose tasks started elsewhere, and treated the
+/// live incarnation as dead.
 #[test]
-fn a_life_is_believed_only_once_it_has_answered() {
+fn an_incarnation_is_accepted_only_after_it_has_answered() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     for (at, checked) in [
@@ -265,35 +266,36 @@
     assert_eq!(ends(&mut slots, START + 3), []);
 }
 
-/// A run that was given up with a crashed backend server begins in its next life, beside its
-/// successor elsewhere: the order was given before the next life was known, and left after.
+/// Guards against two runs of one task. An order is decided before the backend server's next incarnation is
+/// known, and sent afterwards. If that incarnation carried it out, the run that was given up with the crashed
+/// one would begin beside its successor elsewhere.
 #[test]
-fn an_order_names_the_life_that_it_was_given_for() {
+fn an_order_names_the_incarnation_it_was_decided_for() {
     let mut slots = open();
     slots.start_requested(ms(START), &entry(1), true, start(run(0, 1), START));
-    take_up(&mut slots, START + 1, "next");
+    adopt_incarnation(&mut slots, START + 1, "next");
     let orders = slots.take_orders();
     assert!(matches!(&orders[..], [Order::Start { to, .. }] if to.incarnation.id == "life"));
     assert_eq!(ends(&mut slots, START + 1), [(run(0, 1), RunOutcome::Gone)]);
 }
 
-/// A task runs on for ten seconds after its agent froze, beside its successor elsewhere. The agent had
-/// just started and listed whatever life was there; that one crashed, and the lease which the agent
-/// asked for next, on the dead life's clock, was granted by a life whose clock is far behind.
+/// Guards against a run that continues for ten seconds after its agent froze, beside its successor elsewhere.
+/// An agent that had just started listed the incarnation that was up; that one crashed, and the next lease,
+/// requested on the dead incarnation's clock, was granted by an incarnation whose clock is far behind.
 #[test]
-fn no_lease_is_asked_for_before_a_life_is_known() {
+fn no_lease_is_requested_before_an_incarnation_is_known() {
     let mut slots = Slots::open(Bounds::default());
     slots.listing_received(ms(START), ms(START), listing(START, &[]));
     assert_eq!(slots.renew_lease(ms(START + 1)), None);
-    take_up(&mut slots, START + 2, "life");
+    adopt_incarnation(&mut slots, START + 2, "life");
     assert!(slots.renew_lease(ms(START + 3)).is_some());
 }
 
-/// On-call engineers read that a run was stopped which nobody had asked for, though its job is
-/// complete. Of two listings under way at a time the later one told of the run's end; the earlier one,
-/// which still had it at work, came in after that.
+/// Guards against a log line that a run was stopped which nobody had asked for, though its job is complete. Of
+/// two listings under way at a time, the later one contained the run's end; the earlier one, which still listed
+/// the run, arrived after it.
 #[test]
-fn an_overtaken_listing_is_passed_over() {
+fn an_overtaken_listing_is_ignored() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
     let mut later = listing(START + 20, &[]);
@@ -308,27 +310,32 @@
     assert_eq!(slots.take_orders(), []);
     let still = listing(START + 30, &[run(0, 1)]);
     slots.listing_received(ms(START + 31), ms(START + 25), still);
-    assert_eq!(slots.take_orders(), [stop(run(0, 1))], "it does run on");
+    assert_eq!(
+        slots.take_orders(),
+        [stop(run(0, 1))],
+        "the run does continue"
+    );
 }
 
-/// New work reaches a backend server that has left. It said so while the agent, which had just
-/// started, was still asking whether that life was there; the earlier word, "ready", was taken up.
+/// Guards against new work on a backend server that has left. It left while the agent, which had just started,
+/// was checking whether that incarnation is up, and the agent then applied its earlier heartbeat, in which it
+/// was ready.
 #[test]
-fn a_life_that_leaves_while_it_is_checked_gets_nothing() {
+fn an_incarnation_that_leaves_while_it_is_checked_gets_no_work() {
     let mut slots = Slots::open(Bounds::default());
     let at = ms(START);
     let check = slots
         .heartbeat_received(at, heartbeat("life"))
         .expect("unknown");
     slots.server_left(at, &ServerIncarnation::with_id("life"));
-    let there = CheckResult::Answered(listing(START, &[]));
-    slots.check_answered(at, at, &check, there);
+    let answer = CheckResult::Answered(listing(START, &[]));
+    slots.check_answered(at, at, &check, answer);
     assert!(!slots.advertised_backend().takes_work);
 }
 
-/// The answer to a check comes after the life that gave it has died and the next was taken up.
+/// Guards against the late answer to a check whose incarnation has died since, after the next one was accepted.
 #[test]
-fn a_late_answer_to_a_check_brings_nothing_back() {
+fn a_late_answer_to_a_check_is_ignored() {
     let mut slots = open();
     let at = ms(START + 1);
     let late = slots
@@ -337,18 +344,18 @@
     assert_eq!(
         slots.heartbeat_received(at, heartbeat("middle")),
         None,
-        "one at a time"
+        "one check at a time"
     );
-    take_up(&mut slots, START + 2, "next");
-    let again = slots.heartbeat_received(ms(START + 3), heartbeat("middle"));
-    assert_ne!(again.expect("unknown").number, late.number);
-    let there = || CheckResult::Answered(listing(START + 4, &[]));
-    assert!(!slots.check_answered(ms(START + 4), at, &late, there()));
+    adopt_incarnation(&mut slots, START + 2, "next");
+    let next_check = slots.heartbeat_received(ms(START + 3), heartbeat("middle"));
+    assert_ne!(next_check.expect("unknown").number, late.number);
+    let answer = || CheckResult::Answered(listing(START + 4, &[]));
+    assert!(!slots.check_answered(ms(START + 4), at, &late, answer()));
     assert_eq!(slots.server_incarnation().id, "next");
 }
 
-/// Nothing runs past its caller's patience: the deadline is kept here, on the agent's clock, also
-/// where the entry lives on.
+/// Guards against runs that outlast their caller's patience: the agent stops a run at its deadline on its own
+/// clock, even if the entry is up.
 #[test]
 fn a_run_is_stopped_at_its_deadline() {
     let mut slots = open();
@@ -366,17 +373,17 @@
     assert_eq!(slots.take_orders(), [stop(run(0, 1))]);
 }
 
-/// The bounds must leave a resubmission nothing to meet: silence, then the lease of an agent that
-/// died in the meantime, on a slow clock, with the stop's grace.
+/// The bounds must let every run end before a resubmission: the silence, then the lease of an agent that died
+/// in the meantime, on a slow clock, and the time of a stop.
 #[test]
 fn all_bounds_together_are_shorter_than_a_resubmission() {
     assert!(Bounds::default().runs_end_within() < lease::RESUBMIT_AFTER);
 }
 
-/// A living worker gets no work for a second and a half: while its life is asked whether it is there,
-/// another writer's heartbeat names one that isn't, and only the newest was remembered.
+/// Guards against a live worker that gets no work for 1.5 s. While its incarnation is checked, a heartbeat of
+/// another writer names one that isn't up, and only the newest check was kept.
 #[test]
-fn a_word_of_another_writer_pushes_out_no_living_one() {
+fn a_heartbeat_of_another_writer_doesn_t_displace_the_live_incarnation() {
     let mut slots = Slots::open(Bounds::default());
     let living = slots
         .heartbeat_received(ms(START), heartbeat("living"))
@@ -390,15 +397,16 @@
         &other,
         CheckResult::AnotherIncarnation
     ));
-    let there = CheckResult::Answered(listing(START, &[]));
-    assert!(slots.check_answered(ms(START), ms(START), &living, there));
+    let answer = CheckResult::Answered(listing(START, &[]));
+    assert!(slots.check_answered(ms(START), ms(START), &living, answer));
     assert_eq!(slots.server_incarnation().id, "living");
     assert!(slots.advertised_backend().takes_work);
 }
 
-/// The same worker is said to be of a service that nobody asks for, and stands idle for good.
+/// Guards against a heartbeat of another writer that names another service for the current incarnation: its
+/// worker would be idle for good, since nobody asks for that service.
 #[test]
-fn a_life_stays_with_its_service() {
+fn an_incarnation_keeps_its_service() {
     let mut slots = open();
     let mut other = heartbeat("life");
     other.backend.service = "nobody's".into();
@@ -406,8 +414,9 @@
     assert_eq!(slots.announced_backend(), &backend("life"));
 }
 
-/// A caller submits its job again sooner than a run surely ends, and the task runs twice. A program that
-/// is told of such callers, or of backend servers with too short a lease, doesn't start.
+/// Guards against two runs of one task because a caller resubmits its job before its runs are certain to have
+/// ended. A program doesn't start with settings that state such callers, or backend servers whose leases are
+/// too short.
 #[test]
 fn bounds_that_can_t_be_kept_are_refused() {
     let bounds = Bounds::default();
