--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -51,7 +51,7 @@
 /// The recent demand of one client account.
 #[derive(Clone, Debug)]
 struct Offered {
-    /// Slot time in seconds, decayed up to `at`.
+    /// Slot time in seconds, decayed up to `decayed_at`.
     seconds: f64,
     decayed_at: time::Instant,
     /// Slots that a heavy client account can expect to get; `None` for a light one.
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the weight of the latest of `seen` observations in a mean.
+/// Returns the weight that the last one of that many observations gets in a mean.
 fn observation_weight(observations: u32) -> f64 {
     MIN_WEIGHT.max(1.0 / f64::from(observations))
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -92,7 +92,7 @@
     log_slowness: f64,
     /// Run times in that mean.
     runs: u32,
-    /// Bars since the worker last counted as recovered.
+    /// Bars since the worker last recovered; each doubles the time of the next one.
     bars_in_a_row: u32,
     /// When its bar ends; `None` if it isn't barred.
     barred_until: Option<time::Instant>,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Adds an outcome; one of `good` and `bad` is 1, the other 0.
+    /// Adds an outcome; one of `successes` and `failures` is 1, the other 0.
     fn add_outcome(&mut self, successes: f64, failures: f64) {
         self.successes = self.successes * OUTCOME_DECAY + successes;
         self.failures = self.failures * OUTCOME_DECAY + failures;
@@ -127,7 +127,7 @@
 }
 
 impl FailureShare {
-    /// Adds an outcome, and multiplies the weights of earlier ones by `keep`.
+    /// Adds an outcome, and multiplies the weights of earlier ones by `decay`.
     fn add_outcome(&mut self, failed: bool, decay: f64) {
         self.successes = self.successes * decay + f64::from(u8::from(!failed));
         self.failures = self.failures * decay + f64::from(u8::from(failed));
--- a/tests/decide_health.rs
+++ b/tests/decide_health.rs
@@ -1,4 +1,5 @@
-//! Sick workers: judged against their peers, barred, and let back by bounded real work.
+//! Failing and slow workers are barred by comparison with their peers, and return with a limited
+//! number of real tasks.
 
 mod decide_support;
 
@@ -6,14 +7,14 @@
 
 use decide_support as fake;
 
-const SICK_FROM: Duration = Duration::from_secs(2);
+const FAULT_FROM: Duration = Duration::from_secs(2);
 
-/// Offers work for 20 s at about 80% of 11 workers. Returns the share of tasks that failed and
-/// the starts at each worker of the list after the sickness began.
-fn offer(fake: &mut fake::FakeCell, sick: &[&str]) -> (usize, Vec<usize>) {
+/// Submits work for 20 s, enough for about 80% of 11 workers. Returns the number of all starts, and
+/// the number of starts at each worker of the list after the fault began.
+fn submit_for_20_s(fake: &mut fake::FakeCell, faulty: &[&str]) -> (usize, Vec<usize>) {
     let mut from = 0;
     for i in 0..400 {
-        if fake.now - fake.started_at < SICK_FROM {
+        if fake.now - fake.started_at < FAULT_FROM {
             from = fake.starts.len();
         }
         let account = ["town", "village", "state"][i % 3];
@@ -21,17 +22,17 @@
         fake.advance(Duration::from_millis(50));
     }
     fake.advance(Duration::from_secs(8));
-    let at = |name: &&str| {
+    let starts_at = |name: &&str| {
         let starts = fake.starts[from..].iter();
         starts.filter(|(agent, _)| agent == *name).count()
     };
-    (fake.starts.len(), sick.iter().map(at).collect())
+    (fake.starts.len(), faulty.iter().map(starts_at).collect())
 }
 
-fn sick_fake(sick: &'static [&'static str]) -> fake::FakeCell {
+fn open_with_failing_workers(faulty: &'static [&'static str]) -> fake::FakeCell {
     let mut fake = fake::open(11);
     fake.behavior = Box::new(move |agent, start, age| {
-        if age >= SICK_FROM && sick.contains(&agent) {
+        if age >= FAULT_FROM && faulty.contains(&agent) {
             return fake::fail_quickly();
         }
         fake::succeed(start)
@@ -39,30 +40,37 @@
     fake
 }
 
-/// One worker begins to fail every task within 2 ms. It always has free slots, so that the
-/// placement alone would send it most of the work. Fewer than 0.5% of the tasks may fail.
+/// One worker begins to fail every task within 2 ms, so it always has free slots, and the placement
+/// alone would send it most of the work. Fewer than 0.5% of the tasks may fail.
 #[test]
-fn black_hole_gets_few_tasks() {
-    let sick = ["agent-03"];
-    let mut fake = sick_fake(&["agent-03"]);
-    let (all, at) = offer(&mut fake, &sick);
-    assert!(at[0] * 200 < all, "{at:?} of {all}");
-    assert!(at[0] >= 3, "it is never tried again: {at:?}");
+fn worker_that_fails_every_task_gets_few_tasks() {
+    let faulty = ["agent-03"];
+    let mut fake = open_with_failing_workers(&["agent-03"]);
+    let (all, starts_at) = submit_for_20_s(&mut fake, &faulty);
+    assert!(starts_at[0] * 200 < all, "{starts_at:?} of {all}");
+    assert!(
+        starts_at[0] >= 3,
+        "the failing worker gets no further task: {starts_at:?}"
+    );
 }
 
-/// A quarter of the workers fails everything at the same time.
+/// A quarter of the workers begin to fail every task at the same time. Fewer than 1% of the tasks
+/// may go to them.
 #[test]
-fn quarter_of_sick_workers_gets_few_tasks() {
-    let sick = ["agent-00", "agent-04", "agent-08"];
-    let mut fake = sick_fake(&["agent-00", "agent-04", "agent-08"]);
-    let (all, at) = offer(&mut fake, &sick);
-    assert!(at.iter().sum::<usize>() * 100 < all, "{at:?} of {all}");
+fn quarter_of_failing_workers_gets_few_tasks() {
+    let faulty = ["agent-00", "agent-04", "agent-08"];
+    let mut fake = open_with_failing_workers(&["agent-00", "agent-04", "agent-08"]);
+    let (all, starts_at) = submit_for_20_s(&mut fake, &faulty);
+    assert!(
+        starts_at.iter().sum::<usize>() * 100 < all,
+        "{starts_at:?} of {all}"
+    );
 }
 
-/// A worker is mended after a while. The next real task that it is given succeeds, and it takes
-/// its full part again.
+/// A failing worker is repaired after 2 s. The next real task that it gets succeeds, and it then
+/// gets its full share of the work again.
 #[test]
-fn mended_worker_comes_back() {
+fn repaired_worker_gets_its_share_again() {
     let mut fake = fake::open(2);
     fake.behavior = Box::new(|agent, start, age| {
         if age < Duration::from_secs(2) && agent == "agent-01" {
@@ -80,8 +88,8 @@
     assert!(back >= 10, "{back} of 40");
 }
 
-/// One client account sends input on which every task fails, on every worker. The workers are well, and
-/// nobody else may lose them.
+/// One client account sends input on which every task fails, on every worker. The workers are
+/// healthy, so the other client accounts must keep their slots.
 #[test]
 fn broken_input_of_one_client_account_bars_no_worker() {
     let mut fake = fake::open(4);
@@ -110,38 +118,39 @@
     assert_eq!(town, 800);
 }
 
-/// One worker runs everything five times slower. A task may not be started again elsewhere, so
-/// the only cure is to send it little.
+/// One worker runs every task five times slower than the others. A task that was started may not be
+/// started again elsewhere, so the worker must get few tasks: less than 1% of all.
 #[test]
 fn slow_worker_gets_few_tasks() {
     let mut fake = fake::open(11);
     fake.behavior = Box::new(|agent, start, _| {
-        let mut end = fake::succeed(start)?;
+        let mut task_end = fake::succeed(start)?;
         if agent == "agent-03" {
-            end.after *= 5;
+            task_end.after *= 5;
         }
-        Some(end)
+        Some(task_end)
     });
-    let (all, at) = offer(&mut fake, &["agent-03"]);
-    assert!(at[0] * 100 < all, "{at:?} of {all}");
+    let (all, starts_at) = submit_for_20_s(&mut fake, &["agent-03"]);
+    assert!(starts_at[0] * 100 < all, "{starts_at:?} of {all}");
 }
 
-/// A worker that is half dead never answers. Its tasks end with the class target, and then it gets
-/// one at a time, not eight again.
+/// A worker accepts tasks but never answers. Its tasks are stopped when the class target passes;
+/// after that it must get one task at a time, not eight again.
 #[test]
 fn hanging_worker_gets_few_tasks() {
     let mut fake = fake::open(11);
     fake.behavior = Box::new(|agent, start, age| {
-        if age >= SICK_FROM && agent == "agent-03" {
+        if age >= FAULT_FROM && agent == "agent-03" {
             return None;
         }
         fake::succeed(start)
     });
-    let (all, at) = offer(&mut fake, &["agent-03"]);
-    assert!(at[0] * 100 < all, "{at:?} of {all}");
+    let (all, starts_at) = submit_for_20_s(&mut fake, &["agent-03"]);
+    assert!(starts_at[0] * 100 < all, "{starts_at:?} of {all}");
 }
 
-/// Everything fails everywhere, so the cause isn't a worker: at most half of them are barred.
+/// Every task fails on every worker, so the workers aren't the cause: at most half of them may be
+/// barred.
 #[test]
 fn at_most_half_of_the_workers_are_barred() {
     let mut fake = fake::open(8);
--- a/tests/decide_learning.rs
+++ b/tests/decide_learning.rs
@@ -1,4 +1,4 @@
-//! Learned run times, with declared ones as a prior.
+//! Run times are learned from observations, with the declared ones as a prior.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const ACCOUNT: CompactString = CompactString::const_new("town");
 const KIND: CompactString = CompactString::const_new("check");
 
-/// Declared values that are all wrong by the same factor are corrected, and still tell long tasks
-/// from short ones.
+/// Declared run times that are all wrong by the same factor are corrected, and still distinguish
+/// long tasks from short ones.
 #[test]
 fn constant_error_is_corrected() {
     for factor in [0.1, 10.0] {
@@ -22,14 +22,15 @@
             let declared = (ms as f64 * factor) as u64;
             estimates.observe(&ACCOUNT, &KIND, declared, Duration::from_millis(ms));
         }
-        let guess = estimates.estimate(&ACCOUNT, &KIND, (700.0 * factor) as u64);
-        assert!((650..750).contains(&guess.as_millis()), "{guess:?}");
+        let estimate = estimates.estimate(&ACCOUNT, &KIND, (700.0 * factor) as u64);
+        assert!((650..750).contains(&estimate.as_millis()), "{estimate:?}");
     }
 }
 
-/// Declared values that tell nothing are left aside for the mean of what was seen.
+/// Declared run times that don't correlate with the observed ones are ignored; the estimate is the
+/// mean of the observations.
 #[test]
-fn declared_noise_is_left_aside() {
+fn uncorrelated_declarations_are_ignored() {
     let mut estimates = Estimates::default();
     let mut rng = SmallRng::seed_from_u64(2);
     for _ in 0..200 {
@@ -37,11 +38,12 @@
         let ran = Duration::from_millis(rng.random_range(290..310));
         estimates.observe(&ACCOUNT, &KIND, declared, ran);
     }
-    let guess = estimates.estimate(&ACCOUNT, &KIND, 100_000);
-    assert!((280..320).contains(&guess.as_millis()), "{guess:?}");
+    let estimate = estimates.estimate(&ACCOUNT, &KIND, 100_000);
+    assert!((280..320).contains(&estimate.as_millis()), "{estimate:?}");
 }
 
-/// A client account without history is believed, and one without a declaration gets a default.
+/// Without observations the declared run time is the estimate, and without a declaration a default
+/// is.
 #[test]
 fn declared_value_is_the_prior() {
     let estimates = Estimates::default();
--- a/tests/decide_overload.rs
+++ b/tests/decide_overload.rs
@@ -1,4 +1,5 @@
-//! Overload: refused at once where the target can't be met, kept where it was promised.
+//! Under overload a job is refused at once if it can't meet its target, and admitted jobs end in
+//! time.
 
 mod decide_support;
 
@@ -7,11 +8,11 @@
 use decide_support as fake;
 use lovagemill::code::Code;
 
-/// The dominant client account offers three times the capacity for 20 s. Work that was taken in must end
-/// in time, and the rest must hear so in the same moment, with a time to come back: a refusal that
-/// is held back is worth nothing to the caller.
+/// The dominant client account submits three times the capacity for 20 s. Admitted jobs must end in
+/// time. The others must be refused at the time of submission, with a time after which to retry: a
+/// delayed refusal is of no use to the caller.
 #[test]
-fn refusals_come_at_once_and_admitted_work_ends_in_time() {
+fn refusals_come_at_once_and_admitted_jobs_end_in_time() {
     let mut fake = fake::open(2);
     let mut jobs = Vec::new();
     for _ in 0..320 {
@@ -29,17 +30,17 @@
         refused += 1;
         assert_eq!(refusal.code, Code::Overloaded);
         assert!(refusal.not_run && refusal.retry_after_ms.is_some());
-        assert_eq!(fake.endings[&job].0, at, "it was held back");
+        assert_eq!(fake.endings[&job].0, at, "the refusal was delayed");
     }
     assert!((160..=240).contains(&refused), "{refused} of 320 refused");
     // 16 slots for 20 s at 300 ms a task.
     assert!(fake.starts.len() >= 1_040, "{}", fake.starts.len());
 }
 
-/// One client account declares absurd run times. Its neighbours' jobs must not be refused for a backlog
-/// that exists in its declarations only.
+/// One client account declares run times of ten minutes for short tasks. Jobs of other client
+/// accounts must not be refused for a backlog that exists only in these declarations.
 #[test]
-fn absurd_declarations_refuse_nobody_else() {
+fn excessive_declared_run_times_refuse_no_job_of_others() {
     let mut fake = fake::open(2);
     fake.submit("village", fake::tasks(20, 200, 200));
     fake.submit("town", fake::tasks(290, 100, 600_000));
@@ -49,25 +50,26 @@
     assert!(fake.is_complete(job));
 }
 
-/// All workers but one are taken away from an admitted job before it started. As soon as its turn
-/// comes too late, the caller hears "not run"; it must not wait for the target to pass.
+/// Tasks that run far longer than declared occupy all slots, so an admitted job can't start in time
+/// any more. When its turn comes, its caller must get "not run" at once, before the target has
+/// passed.
 #[test]
-fn hopeless_job_is_told_when_its_turn_comes() {
+fn job_that_cannot_end_in_time_fails_when_its_turn_comes() {
     let mut fake = fake::open(1);
     fake.submit("town", fake::tasks(8, 7_500, 100));
     let job = fake.submit("town", fake::tasks(1, 3_000, 3_000));
     fake.advance(Duration::from_millis(7_600));
-    let refusal = fake.refusal(job).expect("it is given up").clone();
+    let refusal = fake.refusal(job).expect("the job is given up").clone();
     assert_eq!(refusal.code, Code::Expired);
     assert!(refusal.not_run && refusal.retry_after_ms.is_some());
     assert_eq!(fake.starts_of("town", 0), 8);
 }
 
-/// A backend server refuses every connection while its agent is well. Each start comes back at
-/// once, provably not run; sent again without bound they would loop as fast as messages travel.
-/// The worker is barred after two, and all work runs elsewhere.
+/// A backend server refuses every connection while its agent works. Each start comes back at once,
+/// provably not run. If starts were sent again without limit, they would loop as fast as messages
+/// travel. The worker must be barred after two refusals, and all tasks must run on the others.
 #[test]
-fn worker_that_turns_work_away_is_left_alone() {
+fn worker_that_refuses_every_start_gets_few_starts() {
     let mut fake = fake::open(4);
     fake.behavior = Box::new(|agent, start, _| {
         if agent == "agent-01" {
@@ -90,8 +92,8 @@
     assert!(sent <= 160 + 16, "{sent} starts for 160 tasks");
 }
 
-/// Every worker turns every task away. Retries stop at the budget, and the callers hear that
-/// nothing ran; where another task of the job is on its way, nobody can promise that.
+/// Every worker refuses every task. Retries must end with the retry budget, and callers get "not
+/// run". A job with another task in transit at that time can't be reported as not run.
 #[test]
 fn retries_end_with_the_budget() {
     let mut fake = fake::open(4);
@@ -112,14 +114,14 @@
         assert!(refusal.not_run, "{refusal:?}");
     }
     let refusal = fake.refusal(large).expect("nothing can run");
-    let honest = [Code::RetriesSpent, Code::Expired, Code::WorkerBusy];
-    assert!(honest.contains(&refusal.code), "{refusal:?}");
+    let allowed = [Code::RetriesSpent, Code::Expired, Code::WorkerBusy];
+    assert!(allowed.contains(&refusal.code), "{refusal:?}");
 }
 
-/// The only client account there is sends long tasks to a system that stands half idle. Its own work
-/// alone made it look like a flood, and it was refused while there was a free slot for every task.
+/// A single client account sends long tasks to a system that is half idle. Its own work made it
+/// count as heavy, and its second job was refused although there was a free slot for each task.
 #[test]
-fn job_that_finds_its_slots_free_is_never_refused() {
+fn job_with_a_free_slot_for_each_task_is_never_refused() {
     let mut fake = fake::open(1);
     let long = fake::TARGET.as_millis() as u64 * 3 / 4;
     let first = fake.submit("harbour", fake::tasks(4, long, long));
--- a/tests/decide_placement.rs
+++ b/tests/decide_placement.rs
@@ -1,4 +1,5 @@
-//! Where to: needs, jobs that can never run, workers that are away.
+//! Tasks with needs go to workers that have the resources, also when such workers are lost or don't
+//! exist.
 
 mod decide_support;
 
@@ -24,20 +25,20 @@
     tasks
 }
 
-/// No worker ever had as many accelerators as a task asks for. The job would wait for ever and
-/// hold a place; it is refused in the same moment.
+/// No worker ever had as many accelerators as a task needs, so the job would never start and only
+/// take up room in the queue. It must be refused at once.
 #[test]
 fn job_that_can_never_run_is_refused_at_once() {
     let mut fake = fake::open(2);
     fake.join("large", accelerators(2));
     let job = fake.submit("town", needing(1, 100, accelerators(3)));
-    let refusal = fake.refusal(job).expect("it is refused");
+    let refusal = fake.refusal(job).expect("the job is refused");
     assert_eq!(refusal.code, Code::NeverRunnable);
     assert!(refusal.not_run);
 }
 
-/// The only worker with accelerators is lost for a moment. Its work is kept for it, but no longer
-/// than the target allows, and then it is told that nothing ran.
+/// The only worker with accelerators is lost. A job that needs it waits for its return, but not
+/// beyond the target; then the caller gets "not run".
 #[test]
 fn job_for_an_absent_worker_waits_its_target_at_most() {
     let mut fake = fake::open(2);
@@ -56,10 +57,10 @@
     assert_eq!(fake.refusal(late).map(|r| r.code), Some(Code::Expired));
 }
 
-/// Tasks that wait for the one accelerator must not keep plain tasks from free slots, nor the
-/// other way round.
+/// Tasks that wait for the only accelerator must not delay tasks without needs while slots are
+/// free, nor the other way round.
 #[test]
-fn scarce_needs_block_nobody_else() {
+fn tasks_with_scarce_needs_delay_no_others() {
     let mut fake = fake::open(1);
     fake.join("large", accelerators(1));
     let scarce = fake.submit("town", needing(3, 300, accelerators(1)));
@@ -70,9 +71,10 @@
     assert!(fake.is_complete(scarce));
 }
 
-/// Free slots, usable slots and room stay right through joins, losses and ends.
+/// The counts of free slots, usable slots and taken resources must stay correct when workers join
+/// and are lost and tasks end.
 #[test]
-fn books_are_balanced_after_work() {
+fn slot_and_resource_counts_are_right_after_work() {
     let mut fake = fake::open(3);
     fake.join("large", accelerators(2));
     for _ in 0..10 {
--- a/tests/decide_queue.rs
+++ b/tests/decide_queue.rs
@@ -1,4 +1,4 @@
-//! Who goes next: light client accounts before the dominant one, which gets all that they leave.
+//! Light client accounts go before the dominant one, which gets all slots that they leave.
 
 mod decide_support;
 
@@ -6,7 +6,8 @@
 
 use decide_support as fake;
 
-/// Floods an owner for a while, as a client account that offers several times the capacity does.
+/// Floods an owner: submits `jobs` jobs of 10 tasks of 300 ms each, one every `every`. At the
+/// intervals used here that is several times the capacity.
 fn flood(fake: &mut fake::FakeCell, account: &str, jobs: usize, every: Duration) {
     for _ in 0..jobs {
         fake.submit(account, fake::tasks(10, 300, 300));
@@ -14,8 +15,8 @@
     }
 }
 
-/// The large state network floods the service just before a small town's first trip of the day.
-/// The town's check must not queue behind the flood: its tasks take the next slots that come free.
+/// The dominant client account floods the service just before a small one submits its first job.
+/// The small one's tasks must not wait behind the flood: they take the next slots that become free.
 #[test]
 fn small_client_accounts_job_takes_the_next_free_slots() {
     let mut fake = fake::open(2);
@@ -29,8 +30,8 @@
     assert!(fake.is_complete(job));
 }
 
-/// A small client account that uses more than the dominant one gets, since others use most of the
-/// capacity, must still go first: by used time alone it would have to compete with the flood.
+/// A small client account uses two thirds of the slots, more than what is left for the dominant
+/// one, and must still go first. By used slot time alone it would go after the flood.
 #[test]
 fn client_account_that_used_more_but_offers_less_goes_first() {
     let mut fake = fake::open(2);
@@ -47,7 +48,7 @@
     assert_eq!(fake.starts_of("town", before), 4);
 }
 
-/// The dominant client account alone, or with idle small ones, uses every slot.
+/// The dominant client account must get every slot that nobody else asks for.
 #[test]
 fn dominant_client_account_gets_all_that_others_leave() {
     let mut fake = fake::open(2);
@@ -60,8 +61,8 @@
     assert_eq!(fake.starts_of("town", from), 1);
 }
 
-/// Small client accounts burst beyond the capacity for long. The dominant one, which asks for far more,
-/// would get nothing at all; one task in some fifty is its own.
+/// Small client accounts exceed the capacity for long. The dominant one, which asks for far more,
+/// would get no slot at all; about one task in fifty must be its own.
 #[test]
 fn heavy_client_account_is_never_starved() {
     let mut fake = fake::open(2);
@@ -80,8 +81,8 @@
     assert!(state * 5 <= all, "{state} of {all}");
 }
 
-/// Two large client accounts offer far more than there is; neither may starve the other, whichever
-/// offers a little more.
+/// Two large client accounts ask for far more than the capacity. Each must get about half, also if
+/// one asks for a little more.
 #[test]
 fn two_heavy_client_accounts_share_alike() {
     let mut fake = fake::open(2);
@@ -95,7 +96,7 @@
     assert!((0.45..=0.55).contains(&share), "{north} against {south}");
 }
 
-/// A job waits for its longest task, so that one starts first.
+/// A job isn't complete before its longest task, so that one must start first.
 #[test]
 fn longest_task_of_a_job_starts_first() {
     let mut fake = fake::open(1);
@@ -108,8 +109,8 @@
     assert_eq!(fake.starts[before].1.index, 1);
 }
 
-/// A clerk's quote of 50 ms arrives behind a long job; every millisecond counts for the quote and
-/// none for the job, so the quote goes first.
+/// A request of 50 ms arrives after a long job. A delay matters to the short request and hardly to
+/// the long job, so the request must go first.
 #[test]
 fn short_request_goes_before_a_long_job() {
     let mut fake = fake::open(1);
@@ -120,8 +121,8 @@
     assert!(fake.is_complete(quote));
 }
 
-/// A wave of cancellations: a job of 290 tasks is withdrawn. What waits vanishes from all books,
-/// and each agent that runs some of it is told once; the others hear nothing.
+/// A job of 290 tasks is cancelled. Its waiting tasks must leave all counts of the queue. Each
+/// agent that runs some of its tasks gets one order, and the others get none.
 #[test]
 fn cancelled_job_costs_one_order_an_agent() {
     let mut fake = fake::open(3);
--- a/tests/decide_release.rs
+++ b/tests/decide_release.rs
@@ -1,4 +1,4 @@
-//! What an owner keeps of a job that has ended.
+//! What an owner keeps of a job that has ended, and what it drops.
 
 mod decide_support;
 
@@ -17,8 +17,8 @@
     })
 }
 
-/// Under steady load an entry's memory grew by all inputs of the last ten minutes, 175 MB after
-/// half a million tasks: an ended job is kept for resubmissions, and its tasks were kept with it.
+/// An ended job is kept for ten minutes for resubmissions. If its inputs are kept with it, an
+/// entry's memory grows with the load: by 175 MB after half a million tasks.
 #[test]
 fn a_complete_job_keeps_its_answer_and_drops_its_inputs() {
     let mut fake = decide_support::open(2);
@@ -43,10 +43,10 @@
     assert_eq!(fake.starts.len(), 20);
 }
 
-/// A caller resubmits after its answer was lost. In between, more jobs have ended than an owner
-/// keeps endings of, and the job was forgotten: it would start again from nothing.
+/// A caller resubmits a job after its answer was lost. Meanwhile more jobs have ended than an owner
+/// keeps endings for. If the owner forgot the job with its ending, the job would run again.
 #[test]
-fn a_job_whose_ending_made_room_for_others_never_starts_again() {
+fn a_job_whose_ending_is_no_longer_kept_never_starts_again() {
     let mut fake = decide_support::open(11);
     let whole = submission(7);
     fake.owner.note_ownership_proof(fake.now);
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -1,5 +1,5 @@
-//! A fake of the agents below an owner, in virtual time: starts run for as long as their input
-//! says, and end as a closure decides.
+//! An owner with fake agents in virtual time. By default a task runs for the milliseconds in its
+//! input and succeeds; a closure can decide otherwise.
 
 #![allow(dead_code)]
 
@@ -18,20 +18,23 @@
 use lovagemill::task;
 use serde_json::value::{to_raw_value, RawValue};
 
-/// The class of all jobs here, and its target.
+/// The class of all jobs here.
 pub const CLASS: &str = "check";
+/// The target of that class.
 pub const TARGET: time::Duration = time::Duration::from_secs(8);
 
-/// How a start ends: after how long, and how. Nothing where it never ends by itself.
+/// Decides how a start ends, from the agent, the start and the time since the fake was opened;
+/// `None` if it never ends by itself.
 pub type Behavior = Box<dyn FnMut(&str, &order::Start, time::Duration) -> Option<TaskEnd>>;
 
-/// The end of a start.
+/// When and how a start ends.
 pub struct TaskEnd {
+    /// Run time.
     pub after: time::Duration,
     pub outcome: Result<(), code::Code>,
 }
 
-/// Runs as long as the input says.
+/// Succeeds after the milliseconds in the input.
 pub fn succeed(start: &order::Start) -> Option<TaskEnd> {
     let ms: u64 = start.input.get().parse().expect("an input is a number");
     Some(TaskEnd {
@@ -40,7 +43,7 @@
     })
 }
 
-/// Fails at once.
+/// Fails after 2 ms.
 pub fn fail_quickly() -> Option<TaskEnd> {
     Some(TaskEnd {
         after: time::Duration::from_millis(2),
@@ -53,15 +56,20 @@
     pub owner: owner::Owner,
     pub started_at: time::Instant,
     pub now: time::Instant,
-    /// Starts in order, with the agent.
+    /// The starts in order, each with its agent.
     pub starts: Vec<(id::AgentId, task::Id)>,
+    /// The agents that got an order to cancel a job.
     pub cancels: Vec<id::AgentId>,
+    /// When and how jobs ended, by waiter.
     pub endings: HashMap<WaiterId, (time::Instant, Arc<submission::Ending>)>,
     pub behavior: Behavior,
-    /// What every task that is done answers.
+    /// The answer of every task that succeeds.
     pub answer: Box<RawValue>,
+    /// Ends that are due, by time, with the number of the start.
     ends: BinaryHeap<Reverse<(time::Instant, u64)>>,
+    /// Running starts by number: agent, task, time of start, and outcome.
     running: BTreeMap<u64, (id::AgentId, task::Id, time::Instant, Result<(), code::Code>)>,
+    /// The last number that was given to a start or a waiter.
     last_number: u64,
 }
 
@@ -81,7 +89,7 @@
     })
 }
 
-/// A job under a key, which begins with its client account.
+/// A submission under a key, which begins with its client account.
 pub fn submission(
     key: &str,
     minted_ms: Option<u64>,
@@ -102,7 +110,7 @@
     }
 }
 
-/// Opens an owner with workers of 8 slots each.
+/// Creates an owner with that many workers of 8 slots each.
 pub fn open(workers: usize) -> FakeCell {
     let started_at = time::Instant::now() + time::Duration::from_secs(1_000);
     let wall = time::Duration::from_secs(1_700_000_000);
@@ -130,7 +138,7 @@
     fake
 }
 
-/// Tasks of one kind.
+/// Equal tasks that run for `ms` and declare `declared_ms`.
 pub fn tasks(number: usize, ms: u64, declared_ms: u64) -> Vec<submission::Task> {
     let task = submission::Task {
         kind: "check".into(),
@@ -142,7 +150,7 @@
 }
 
 impl FakeCell {
-    /// A worker with 8 slots and a capacity joins.
+    /// Adds a worker with 8 slots and a capacity.
     pub fn join(&mut self, id: &str, capacity: task::Needs) {
         let welcome = notice::Welcome {
             incarnation: 1,
@@ -161,13 +169,13 @@
         self.apply_actions();
     }
 
-    /// Submits a job and returns its number.
+    /// Submits a job. Returns its waiter, whose number is also in the job's key.
     pub fn submit(&mut self, account: &str, tasks: Vec<submission::Task>) -> WaiterId {
         let first = self.last_number + 1;
         self.resubmit(account, first, tasks)
     }
 
-    /// Submits a job again, under the key of its first submission, and returns the new number.
+    /// Submits a job again under the key of its first submission. Returns the new waiter.
     pub fn resubmit(
         &mut self,
         account: &str,
@@ -186,14 +194,14 @@
         number
     }
 
-    /// Withdraws a job.
+    /// Cancels a job.
     pub fn cancel(&mut self, account: &str, number: WaiterId) {
         let key = key(account, number);
         self.owner.cancel(self.now, &key, WaiterId::MAX);
         self.apply_actions();
     }
 
-    /// Lets time pass; ends and ticks come in order.
+    /// Advances the time; ends of tasks and the owner's ticks, every 25 ms, come in order.
     pub fn advance(&mut self, by: time::Duration) {
         let until = self.now + by;
         let tick = time::Duration::from_millis(25);
@@ -209,7 +217,7 @@
         self.now = until;
     }
 
-    /// The refusal with which a job ended, if it did.
+    /// Returns the refusal with which a job ended, if it ended so.
     pub fn refusal(&self, number: WaiterId) -> Option<&lovagemill::refusal::Refusal> {
         match self.endings.get(&number).map(|(_, ending)| &**ending) {
             Some(submission::Ending::Failed(refusal)) => Some(refusal),
@@ -217,19 +225,21 @@
         }
     }
 
-    /// Tells whether a job was answered completely.
+    /// Returns whether a job ended with a complete answer.
     pub fn is_complete(&self, number: WaiterId) -> bool {
         let ending = self.endings.get(&number).map(|(_, ending)| &**ending);
         matches!(ending, Some(submission::Ending::Complete(_)))
     }
 
-    /// Starts of a client account from the `from`th start on.
+    /// Returns the number of starts of a client account's tasks, not counting the first `from`
+    /// starts.
     pub fn starts_of(&self, account: &str, from: usize) -> usize {
         let prefix = format!("{account}/");
         let starts = self.starts[from..].iter();
         starts.filter(|(_, id)| id.job.starts_with(&prefix)).count()
     }
 
+    /// Ends the tasks that are due by `until`, in order.
     fn end_until(&mut self, until: time::Instant) {
         while self
             .ends
@@ -256,7 +266,7 @@
     ) {
         let notice = match outcome {
             Err(code) if code.outcome() == code::Outcome::NotRun => {
-                // It covers whatever start is under way.
+                // The highest number covers every start of the task.
                 let attempt = u32::MAX;
                 notice::Notice::Refused(order::Attempt { id, attempt }, code)
             }
@@ -274,6 +284,7 @@
         self.apply_actions();
     }
 
+    /// Carries out the owner's actions.
     fn apply_actions(&mut self) {
         for action in self.owner.actions() {
             match action {
--- a/tests/ended_jobs.rs
+++ b/tests/ended_jobs.rs
@@ -9,10 +9,10 @@
 use lovagemill::decide::owner;
 use lovagemill::submission::Ending;
 
-/// A school's trip check is answered, and the answer is lost on its way. The state network submits
-/// more jobs than the owner keeps answers for, within a minute. Then the school submits again under
-/// its key. The owner had forgotten the key altogether, took the submission for a new job and ran
-/// its tasks a second time.
+/// A job is answered, and the answer is lost. Then another client account submits more jobs than
+/// the owner keeps answers for, within a minute, and the first caller submits again under its key.
+/// An owner that had forgotten the key would take this for a new job and run its tasks a second
+/// time.
 #[test]
 fn resubmission_after_many_other_jobs_starts_nothing() {
     let mut fake = fake::open(400);
@@ -28,10 +28,10 @@
     let before = fake.starts.len();
     let again = fake.resubmit("school", first, fake::tasks(1, 1, 1));
     fake.advance(Duration::from_millis(100));
-    assert_eq!(fake.starts_of("school", before), 0, "it ran twice");
+    assert_eq!(fake.starts_of("school", before), 0, "the job ran twice");
     let (_, ending) = &fake.endings[&again];
     match &**ending {
         Ending::Failed(refusal) => assert_eq!(refusal.code, Code::AnswerGone),
-        Ending::Complete(_) => panic!("its answer was given up"),
+        Ending::Complete(_) => panic!("the job was answered, but its answer is no longer kept"),
     }
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Cells spread over the entries that are alive, and every key finds its owner among several.
+//! Cells spread evenly over the live entries, and every key reaches its owner among several.
 
 use std::collections::BTreeMap;
 use std::time;
@@ -9,16 +9,16 @@
 use lovagemill::demo::deployment;
 use lovagemill::id;
 
-/// Entries that look in turns, as [`spread`] has them decide.
-struct World {
+/// Entries that take cells one after another as [`spread`] decides.
+struct Cluster {
     alive: Vec<id::EntryId>,
     owners: BTreeMap<id::Cell, id::EntryId>,
     cells: u16,
 }
 
-impl World {
-    fn open(entries: usize, cells: u16) -> World {
-        World {
+impl Cluster {
+    fn open(entries: usize, cells: u16) -> Cluster {
+        Cluster {
             alive: (0..entries).map(|i| format!("entry-{i}").into()).collect(),
             owners: BTreeMap::new(),
             cells,
@@ -30,8 +30,8 @@
         Holdings::gather(&self.alive, owners)
     }
 
-    /// Time goes by in steps; in each, every entry takes the vacant cells that it need not leave to
-    /// others. Returns the steps until no cell is vacant.
+    /// Advances the time in steps of [`spread::VACANT_WAIT_STEP`]; in each, every entry takes the
+    /// vacant cells that it may take. Returns the number of steps until no cell is vacant.
     fn fill(&mut self) -> u32 {
         let vacant = time::Instant::now();
         let mut taken = BTreeMap::new();
@@ -54,7 +54,7 @@
         panic!("cells stay vacant: {:?}", self.owners);
     }
 
-    /// Every entry pulls once. Returns how many cells moved.
+    /// Lets every entry pull once. Returns how many cells moved.
     fn pull(&mut self) -> usize {
         let mut moved = 0;
         for me in self.alive.clone() {
@@ -81,50 +81,51 @@
     }
 }
 
-/// Users would see one entry busy and the others idle: entries start together, and the one that
-/// looks first takes every vacant cell. Each must leave cells to those that hold fewer.
+/// Entries start at the same time. If the first one took every vacant cell, users would see one
+/// busy entry and idle others. Each must leave cells to entries that hold fewer.
 #[test]
 fn entries_that_start_together_share_the_cells() {
     for (entries, cells) in [(1, 16), (3, 4), (3, 16), (16, 16), (16, 24), (5, 3)] {
-        let mut world = World::open(entries, cells);
-        world.fill();
-        world.assert_even();
+        let mut cluster = Cluster::open(entries, cells);
+        cluster.fill();
+        cluster.assert_even();
     }
 }
 
-/// Users would see a cell refuse work for seconds: its owner dies while every other entry holds as
-/// many cells as the next, and each waits for another to take it.
+/// An entry dies, and the others all hold the same number of cells. If each waited for another to
+/// take the vacant cells, users would see those refuse work for seconds.
 #[test]
-fn a_dead_owners_cells_are_taken_at_once_where_all_hold_alike() {
-    let mut world = World::open(4, 16);
-    world.fill();
-    let dead = world.alive.remove(0);
-    world.owners.retain(|_, owner| *owner != dead);
-    assert!(world.holdings().vacancy_wait(&world.alive[0]).is_zero());
-    assert!(world.fill() <= 2);
-    world.assert_even();
+fn a_dead_owners_cells_are_taken_at_once_by_entries_that_hold_equally_many() {
+    let mut cluster = Cluster::open(4, 16);
+    cluster.fill();
+    let dead = cluster.alive.remove(0);
+    cluster.owners.retain(|_, owner| *owner != dead);
+    assert!(cluster.holdings().vacancy_wait(&cluster.alive[0]).is_zero());
+    assert!(cluster.fill() <= 2);
+    cluster.assert_even();
 }
 
-/// Users would see an entry idle for good after its restart: all cells were taken while it was
-/// away. It pulls cells one by one until nobody holds two more than it, and then all is still.
+/// All cells were taken while an entry restarted. Without pulls users would see it idle from then
+/// on. It must pull cells one by one until no entry holds two more than it, and then no cell may
+/// move.
 #[test]
-fn a_newcomer_gets_its_share_and_then_nothing_moves() {
-    let mut world = World::open(2, 16);
-    world.fill();
-    world.alive.push("entry-late".into());
+fn a_new_entry_gets_its_share_and_then_no_cell_moves() {
+    let mut cluster = Cluster::open(2, 16);
+    cluster.fill();
+    cluster.alive.push("entry-late".into());
     let mut pulls = 0;
-    while world.pull() > 0 {
+    while cluster.pull() > 0 {
         pulls += 1;
-        assert!(pulls <= 16, "cells move for ever: {:?}", world.counts());
+        assert!(pulls <= 16, "cells move for ever: {:?}", cluster.counts());
     }
-    world.assert_even();
+    cluster.assert_even();
     assert_eq!(pulls, 5, "one cell a pull");
 }
 
-/// Users would see cells move to and fro: a dead entry still owns rows, and those alive pull from
-/// it or wait for it. One that isn't alive counts for nothing.
+/// A dead entry is still named as owner in rows. If live entries waited for it or pulled from it,
+/// users would see cells move back and forth. Its cells must not count.
 #[test]
-fn the_dead_are_neither_waited_for_nor_pulled_from() {
+fn live_entries_neither_wait_for_dead_ones_nor_pull_from_them() {
     let (me, dead): (id::EntryId, id::EntryId) = ("entry-1".into(), "entry-dead".into());
     let owners = [(0, &dead), (1, &dead), (2, &dead), (3, &me)];
     let holdings = Holdings::gather([&me], owners);
@@ -132,7 +133,7 @@
     assert_eq!(holdings.vacancy_wait(&me), time::Duration::ZERO);
 }
 
-/// A run over several cells and entries breaks no promise: submissions find the owner of their
+/// A run with several cells and entries violates no guarantee: submissions reach the owner of their
 /// cell from any entry, and more than one entry owns cells.
 #[tokio::test(flavor = "multi_thread")]
 async fn several_cells_serve_as_one_system() {
