--- a/tests/users_platform/main.rs
+++ b/tests/users_platform/main.rs
@@ -346,7 +346,8 @@
 }
 
 /// Guards against a stopping entry that breaks off the connection of a caller whose job is running. The entry must
-/// answer its jobs and tell the balancer that it isn't ready, and only then end.
+/// answer its jobs, tell callers that it closes their connections and the balancer that it isn't ready, and only then
+/// end.
 #[test]
 fn a_stopping_entry_answers_its_open_jobs() {
     block_on(async {
@@ -643,10 +644,16 @@
         {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let hows: Vec<&str> = system.workers[0].runs().iter().map(|run| run.how).collect();
+        let outcomes: Vec<&str> = system.workers[0]
+            .runs()
+            .iter()
+            .map(|run| run.outcome)
+            .collect();
         assert!(
-            hows.iter().all(|how| ["stopped", "lapsed"].contains(how)),
-            "{hows:?}"
+            outcomes
+                .iter()
+                .all(|outcome| ["stopped", "lapsed"].contains(outcome)),
+            "{outcomes:?}"
         );
         assert!(!system.entries[0].wait_until_ended());
         assert_eq!(system.submit(1, 1, &job(2, 20)).await.0, 200);
@@ -733,7 +740,7 @@
         submitted["spec"] = json!("crash");
         let crashes = || {
             let all = system.workers.iter().flat_map(Worker::runs);
-            all.filter(|run| run.how == "crashed").count()
+            all.filter(|run| run.outcome == "crashed").count()
         };
         let (status, answer) = system.submit(0, 1, &submitted).await;
         assert_eq!((status, &answer["state"]), (200, &json!("failed")));
--- a/tests/users_platform/processes.rs
+++ b/tests/users_platform/processes.rs
@@ -138,7 +138,10 @@
         let until = Instant::now() + HANG;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.lines.recv_timeout(left).expect("never: a log line");
+            let line = self
+                .lines
+                .recv_timeout(left)
+                .expect("no such log line in time");
             if is_wanted(&line) {
                 return line;
             }
--- a/tests/users_platform/standins.rs
+++ b/tests/users_platform/standins.rs
@@ -282,12 +282,12 @@
     pub began: Instant,
     pub ended: Option<Instant>,
     /// How the run ended; empty while it runs.
-    pub how: &'static str,
+    pub outcome: &'static str,
 }
 
 /// The state of a worker.
 #[derive(Default)]
-struct Work {
+struct WorkerState {
     /// Start and duration of each running task, by task and run.
     running: BTreeMap<(String, u64), (Instant, Duration)>,
     /// Number, task, run and outcome of each ended run that isn't acknowledged.
@@ -333,7 +333,7 @@
 pub struct Worker {
     pub addr: SocketAddr,
     pub id: String,
-    work: Arc<Mutex<Work>>,
+    work: Arc<Mutex<WorkerState>>,
 }
 
 impl Worker {
@@ -400,7 +400,7 @@
         let mut work = mutex::lock(&self.work);
         for run in work.runs.iter_mut().filter(|run| run.ended.is_none()) {
             run.ended = Some(Instant::now());
-            run.how = "crashed";
+            run.outcome = "crashed";
         }
         let incarnation = Incarnation {
             born: work.incarnation.born - 1,
@@ -408,10 +408,10 @@
             seq: 0,
             ..Incarnation::default()
         };
-        *work = Work {
+        *work = WorkerState {
             runs: std::mem::take(&mut work.runs),
             incarnation,
-            ..Work::default()
+            ..WorkerState::default()
         };
     }
 
@@ -497,7 +497,7 @@
             task: key.0.clone(),
             began: Instant::now(),
             ended: None,
-            how: "",
+            outcome: "",
         });
         work.running
             .insert(key, (Instant::now(), Duration::from_millis(long)));
@@ -524,7 +524,7 @@
         let finished = work
             .finished
             .iter()
-            .map(|(n, task, run, how)| json!([n, task, run, how, ""]));
+            .map(|(n, task, run, outcome)| json!([n, task, run, outcome, ""]));
         let finished: Vec<Value> = finished.collect();
         http::json(
             200,
@@ -534,22 +534,23 @@
     }
 }
 
-impl Work {
+impl WorkerState {
     fn clock_ms(&self) -> u64 {
         self.incarnation.first_ms + self.incarnation.began.elapsed().as_millis() as u64
     }
 
     /// Ends a run, unless it has ended already.
-    fn end(&mut self, key: &(String, u64), how: &'static str) {
+    fn end(&mut self, key: &(String, u64), outcome: &'static str) {
         if self.running.remove(key).is_none() {
             return;
         }
         self.number += 1;
-        self.finished.push((self.number, key.0.clone(), key.1, how));
+        self.finished
+            .push((self.number, key.0.clone(), key.1, outcome));
         let mut runs = self.runs.iter_mut().rev();
         if let Some(run) = runs.find(|run| run.task == key.0 && run.ended.is_none()) {
             run.ended = Some(Instant::now());
-            run.how = how;
+            run.outcome = outcome;
         }
     }
 }
