--- a/src/decide/owner/admission.rs
+++ b/src/decide/owner/admission.rs
@@ -202,8 +202,8 @@
     /// A start without a written claim is safe only if a later owner can see from the key that the
     /// job may have been started: the key has to contain the time at which it was minted, and the
     /// work has to be idempotent. A later owner would take the key for new if that time is more
-    /// than [`inherit::TABLE_CONTACT_WINDOW`] after this owner's last proof of ownership. This happens if
-    /// the caller's clock is ahead, or if this process was paused without noticing.
+    /// than [`inherit::TABLE_CONTACT_WINDOW`] after this owner's last proof of ownership. This
+    /// happens if the caller's clock is ahead, or if this process was paused without noticing.
     pub(super) fn must_claim_ahead(
         &self,
         now: time::Instant,
--- a/src/decide/owner/agents.rs
+++ b/src/decide/owner/agents.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Notes that the link to an agent is lost. The agent keeps its tasks until it has been silent
-    /// for [`owner::AGENT_LOST_AFTER`].
+    /// Notes that the link to an agent is lost. The agent's tasks stay outstanding until it has
+    /// been silent for [`owner::AGENT_LOST_AFTER`].
     pub fn agent_link_lost(&mut self, now: time::Instant, id: &id::AgentId) {
         self.fleet.mark_silent(now, id);
     }
--- a/src/decide/owner/endings.rs
+++ b/src/decide/owner/endings.rs
@@ -14,8 +14,8 @@
 use crate::submission;
 
 impl Owner {
-    /// Replies to the waiter, or lets it wait, if a job is known under the submission's key. Tells
-    /// whether one is.
+    /// Tells whether a job is known under the submission's key. If so, the waiter gets its ending,
+    /// now or when the job ends.
     pub(super) fn attach_waiter(
         &mut self,
         submission: &submission::Submission,
@@ -35,7 +35,7 @@
         true
     }
 
-    /// Refuses a submission whose job ended and whose ending was evicted. Tells whether it did.
+    /// Refuses a submission if its job ended and the ending was evicted. Tells whether that is so.
     ///
     /// Guards against a second run: without the evicted key the job would look new to this owner,
     /// since it has read only the claims of earlier owners.
--- a/src/decide/owner/tasks.rs
+++ b/src/decide/owner/tasks.rs
@@ -146,10 +146,7 @@
             return;
         };
         let key = &answer.id.job;
-        let job = self
-            .jobs
-            .get_mut(key)
-            .expect("a task that was given back has a job");
+        let job = self.jobs.get_mut(key).expect("a released task has a job");
         if job.ending.is_some() {
             job.tasks[index] = Progress::Dropped;
             return;
@@ -186,7 +183,7 @@
             }
             if let Some(index) = self.release_task(now, agent, id, None) {
                 let job = self.jobs.get_mut(&id.job);
-                job.expect("a task that was given back has a job").tasks[index] = Progress::Dropped;
+                job.expect("a released task has a job").tasks[index] = Progress::Dropped;
                 self.fail_job(now, &id.job, code::Code::Cancelled);
             }
             return;
@@ -228,7 +225,7 @@
         let job = self
             .jobs
             .get_mut(&id.job)
-            .expect("a task that was given back has a job");
+            .expect("a released task has a job");
         if job.ending.is_some() {
             job.tasks[index] = Progress::Dropped;
             return;
@@ -275,7 +272,7 @@
         Some(index)
     }
 
-    /// Updates the run time estimate of such tasks and the agent's health by an answer.
+    /// Updates the run time estimate of tasks of this kind, and the agent's health, by an answer.
     fn learn_from_answer(
         &mut self,
         now: time::Instant,
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -201,7 +201,10 @@
     match action {
         Action::Order(agent, order) => {
             let agent = world::agent_index(&agent);
-            let ownership = w.entries[e].ownership.as_mut().expect("it acts");
+            let ownership = w.entries[e]
+                .ownership
+                .as_mut()
+                .expect("an entry that acts has an owner");
             if let Some(incarnation) = ownership.links[agent] {
                 w.messages.insert(Arc::new(Message::Down {
                     epoch: ownership.epoch,
@@ -212,7 +215,10 @@
             }
         }
         Action::Claim(claim) => {
-            let ownership = w.entries[e].ownership.as_mut().expect("it acts");
+            let ownership = w.entries[e]
+                .ownership
+                .as_mut()
+                .expect("an entry that acts has an owner");
             ownership
                 .pending_claims
                 .change(|pending_claims| pending_claims.push(claim));
