--- a/tests/users_platform/standins.rs
+++ b/tests/users_platform/standins.rs
@@ -157,7 +157,7 @@
         while !mutex::lock(&self.state)
             .rows
             .keys()
-            .any(|(of, ..)| of == table)
+            .any(|(row_table, ..)| row_table == table)
         {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -192,9 +192,9 @@
             let (table, from) = (text("table"), text("from"));
             let to = params.get("to").cloned();
             let part = text("part");
-            let rows = state.rows.iter().filter(|((of, within, key), _)| {
-                *of == table
-                    && *within == part
+            let rows = state.rows.iter().filter(|((row_table, row_part, key), _)| {
+                *row_table == table
+                    && *row_part == part
                     && *key >= from
                     && to.as_ref().is_none_or(|to| key < to)
             });
@@ -208,8 +208,11 @@
         "/-/rows-parts" => {
             let (table, after) = (text("table"), text("after"));
             let state = mutex::lock(state);
-            let of = state.rows.keys().filter(|(of, ..)| *of == table);
-            let parts = of.map(|(_, part, _)| part).filter(|part| **part > after);
+            let keys = state
+                .rows
+                .keys()
+                .filter(|(row_table, ..)| *row_table == table);
+            let parts = keys.map(|(_, part, _)| part).filter(|part| **part > after);
             let parts: BTreeSet<&String> = parts.collect();
             http::json(
                 200,
@@ -230,10 +233,11 @@
                     let rows = state
                         .rows
                         .iter()
-                        .filter(|((of, ..), (_, ver))| *of == table && *ver > after);
+                        .filter(|((row_table, ..), (_, ver))| *row_table == table && *ver > after);
                     let mut rows: Vec<Value> = rows.map(row).collect();
                     let removed = state.removed.iter();
-                    let removed = removed.filter(|((of, ..), ver)| *of == table && **ver > after);
+                    let removed = removed
+                        .filter(|((row_table, ..), ver)| *row_table == table && **ver > after);
                     rows.extend(removed.map(tombstone));
                     if !rows.is_empty() || Instant::now() >= until {
                         *state.served.entry(table).or_default() += rows.len();
