--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -181,8 +181,8 @@
 
 /// Reports as refused all claims that starts wait for.
 fn refuse_awaited(claims: &[action::Claim], events: &Events) {
-    let ahead = claims.iter().filter(|claim| claim.blocks_starts);
-    let keys: Vec<_> = ahead.map(|claim| claim.key.clone()).collect();
+    let blocking = claims.iter().filter(|claim| claim.blocks_starts);
+    let keys: Vec<_> = blocking.map(|claim| claim.key.clone()).collect();
     (events.refused)(&keys, code::Code::StoreDown);
 }
 
--- a/src/decide/owner/admission.rs
+++ b/src/decide/owner/admission.rs
@@ -47,7 +47,7 @@
                 return;
             }
         };
-        let blocks_starts = self.must_claim_ahead(now, &submission);
+        let blocks_starts = self.must_write_claim_first(now, &submission);
         let claim = if blocks_starts {
             job::ClaimState::Awaited
         } else {
@@ -204,7 +204,7 @@
     /// work has to be idempotent. A later owner would take the key for new if that time is more
     /// than [`inherit::TABLE_CONTACT_WINDOW`] after this owner's last proof of ownership. This
     /// happens if the caller's clock is ahead, or if this process was paused without noticing.
-    pub(super) fn must_claim_ahead(
+    pub(super) fn must_write_claim_first(
         &self,
         now: time::Instant,
         submission: &submission::Submission,
--- a/tests/config_force.rs
+++ b/tests/config_force.rs
@@ -263,7 +263,8 @@
         cut.store(true, Ordering::SeqCst);
         assert_eq!(change(&first, 1, 700).await["version"], 2);
         until_version(&second, 2).await;
-        // `owner_that_cant_read_the_table_gets_the_document_from_a_peer` covers the other direction.
+        // The other direction is covered by
+        // `owner_that_cant_read_the_table_gets_the_document_from_a_peer`.
         let status = get(&second, "/v1/status").await.1;
         assert_eq!(status["stragglers"], serde_json::json!([]));
         assert_eq!(status["other_versions"]["entry-0"], 2);
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -402,12 +402,12 @@
     let Some(ownership) = &w.entries[e].ownership else {
         return false;
     };
-    let ahead = ownership
+    let blocking = ownership
         .pending_claims
         .get()
         .iter()
         .filter(|claim| claim.blocks_starts);
-    let keys: Vec<_> = ahead.map(|claim| claim.key.clone()).collect();
+    let keys: Vec<_> = blocking.map(|claim| claim.key.clone()).collect();
     if keys.is_empty() || w.used.refusals >= w.bounds.refusals {
         return false;
     }
