--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -129,6 +129,8 @@
         }
     }
 
+    /// Records a crash of the current incarnation and reports its suspects, unless it had announced that it
+    /// leaves. A suspect that was on probation is proven to be the cause; without one, every task is suspected.
     fn record_crash(&mut self, now: time::Duration) {
         if !self.backend.takes_work {
             return;
@@ -141,11 +143,11 @@
         };
         let held = self.held.values().filter(|held| is_on_server(held.state));
         let held = held.map(|held| self.task_on_server(now, held));
-        let all: Vec<TaskOnServer> = held.chain(self.crashes.lost.iter().cloned()).collect();
+        let tasks: Vec<TaskOnServer> = held.chain(self.crashes.lost.iter().cloned()).collect();
         let on_probation = |task: &TaskOnServer| task.suspect && task.just_started;
-        let has_culprit = all.iter().any(on_probation);
+        let has_culprit = tasks.iter().any(on_probation);
         let mut crash = Crash::default();
-        for task in all {
+        for task in tasks {
             if has_culprit && on_probation(&task) {
                 crash.proven.push(task.name);
             } else if !has_culprit && task.just_started {
@@ -169,8 +171,8 @@
     /// Whether a crash of the current incarnation has been reported; a later finding only extends the report.
     fn is_crash_reported(&self) -> bool {
         let mut known = self.crashes.known.iter().map(|(_, crash)| crash);
-        let of_this_life = known.find(|crash| crash.server == self.counts.incarnations);
-        of_this_life.is_some_and(|crash| crash.suspects().next().is_some())
+        let of_current = known.find(|crash| crash.server == self.counts.incarnations);
+        of_current.is_some_and(|crash| crash.suspects().next().is_some())
     }
 
     /// Reports a crash of the current incarnation, with its suspects, to all entries. It replaces an earlier
--- a/src/decide/besteffort/slots/incarnations.rs
+++ b/src/decide/besteffort/slots/incarnations.rs
@@ -20,9 +20,8 @@
     Listing, Recipient, Slots, StaleMessage, State, ANOTHER_INCARNATION,
 };
 
-/// Maximum number of incarnations that are checked at a time. With room for one only, a heartbeat of a dead
-/// incarnation or of another writer would displace the live one, which would be checked again only at its next
-/// heartbeat, 1.5 s later.
+/// Maximum number of incarnations that are checked at a time. A heartbeat of a dead incarnation or of another
+/// writer mustn't displace the live one, which would be checked again only at its next heartbeat, 1.5 s later.
 const MAX_CANDIDATES: usize = 8;
 
 /// An incarnation that has announced itself and is being checked for being up.
@@ -229,9 +228,9 @@
         // void. The heartbeats of the candidates are kept, and the next one starts a new check: if they were
         // dropped, an announced leave that was acknowledged would be undone by a late, older heartbeat.
         self.candidates
-            .retain(|known| *known.incarnation() != heartbeat.backend.incarnation);
-        for known in &mut self.candidates {
-            known.check = None;
+            .retain(|candidate| *candidate.incarnation() != heartbeat.backend.incarnation);
+        for candidate in &mut self.candidates {
+            candidate.check = None;
         }
         self.acknowledged = 0;
         self.newest_listing_ms = 0;
@@ -245,8 +244,8 @@
     /// given up at once, their tasks would run twice. The first listing under the new fence tells which case it
     /// is.
     fn inherit_runs(&mut self) {
-        let task_on_server = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
-        self.inherited = task_on_server.map(|(run, _)| run.clone()).collect();
+        let sent_runs = self.held.iter().filter(|(_, h)| h.state != State::Waiting);
+        self.inherited = sent_runs.map(|(run, _)| run.clone()).collect();
     }
 
     fn update_backend(&mut self, now: time::Duration, backend: Backend) {
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -49,6 +49,7 @@
 /// How long an entry that isn't heard is remembered.
 const ENTRY_RETENTION: time::Duration = time::Duration::from_secs(10);
 
+/// What an agent knows of an entry, and what it hasn't sent to it yet.
 #[derive(Debug, Default)]
 struct Entry {
     alive_until: time::Duration,
@@ -148,7 +149,7 @@
         &self.backend.incarnation
     }
 
-    /// Returns the addressee of orders that are decided now.
+    /// Returns the incarnation, and the fence, that orders decided now are meant for.
     pub fn recipient(&self) -> Recipient {
         Recipient {
             incarnation: self.backend.incarnation.clone(),
@@ -245,7 +246,7 @@
         if self.is_working() && self.lease.has_lapsed(now) {
             self.end_lost_runs(now, LEASE_RAN_OUT);
         }
-        let mut must_end_since = Vec::new();
+        let mut overdue = Vec::new();
         let mut returned = Vec::new();
         for (run, held) in &self.held {
             let silent = self
@@ -260,13 +261,13 @@
                 log::info!(job = run.job.as_str(), task = run.task, run = run.number,
                     entry = held.entry.entry.as_str(), silent = silent, past_deadline = past;
                     "ending a run that nobody waits for");
-                must_end_since.push(run.clone());
+                overdue.push(run.clone());
             }
         }
         for run in returned {
             self.end_run(now, &run, RunOutcome::NotRun);
         }
-        for run in must_end_since {
+        for run in overdue {
             self.require_end(now, &run);
         }
         self.resend_stops(now);
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -62,7 +62,7 @@
             .min(alive_until)
     }
 
-    /// Returns the number of the last end that needn't be listed recently_stopped.
+    /// Returns the number of the last end that needn't be listed again.
     pub fn acknowledged_end(&self) -> u64 {
         self.acknowledged
     }
@@ -124,8 +124,8 @@
     }
 
     /// Handles the answer to a stop: the run ends within the time that a stop may take, or never begins.
-    /// Returns whether a separate listing is needed. It is if the run may never have begun; only an end that
-    /// really happens is listed unasked.
+    /// Returns whether a separate listing is needed because nobody knows whether the run began: a run that
+    /// never began has no end that would be listed.
     pub fn stop_answered(&mut self, now: time::Duration, run: &Run) -> bool {
         let Some(held) = self.held.get_mut(run) else {
             return false;
@@ -161,11 +161,11 @@
         self.newest_listing_ms = listing.clock_ms;
         self.incarnation_answered(now);
         self.lease.record_answer(sent, now, listing.clock_ms);
-        let is_long = self.lease.outlasts_new_lease(now);
-        self.set_reachable(now, !is_long);
+        let outlasts_new_lease = self.lease.outlasts_new_lease(now);
+        self.set_reachable(now, !outlasts_new_lease);
         self.acknowledged = self.acknowledged.max(listing.last_end);
-        for (run, how) in &listing.ended {
-            self.end_run(now, run, *how);
+        for (run, outcome) in &listing.ended {
+            self.end_run(now, run, *outcome);
         }
         let mut unknown = Vec::new();
         for (run, percent) in &listing.running {
