--- a/tests/besteffort_agent.rs
+++ b/tests/besteffort_agent.rs
@@ -68,8 +68,8 @@
 
 /// Guards against two runs of one task. The backend server's next incarnation announces itself while a listing
 /// of the old one is under way. A run begins on the new incarnation, and only then the old listing is answered
-/// with "another incarnation". If the agent took that for current, it gave the run up, and the entry started
-/// its task elsewhere while the run continued.
+/// with "another incarnation". An agent that applied this answer to the new incarnation gave the run up, and the
+/// entry started its task elsewhere while the run continued.
 #[test]
 fn a_late_answer_about_the_old_incarnation_ends_no_run_of_the_new_one() {
     support::block_on(async {
@@ -117,10 +117,10 @@
                 Ok(listed(Vec::new(), vec![(begun, RunOutcome::Done)])),
             )
             .await;
-        let how = entry
+        let outcome = entry
             .read_until(|message| message.ended.first().map(|end| end.outcome))
             .await;
-        assert_eq!(how, RunOutcome::Done);
+        assert_eq!(outcome, RunOutcome::Done);
     });
 }
 
@@ -362,10 +362,10 @@
         let ended = vec![(begun, RunOutcome::Done)];
         now.send(Ok(listed(Vec::new(), ended)))
             .expect("the agent waits");
-        let how = entry
+        let outcome = entry
             .read_until(|message| message.ended.first().map(|end| end.outcome))
             .await;
-        assert_eq!(how, RunOutcome::Done);
+        assert_eq!(outcome, RunOutcome::Done);
         calls.next("the next waiting listing", delayed).await;
         assert!(lost.is_closed(), "the lost one was given up");
     });
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -139,8 +139,8 @@
         listing(START + 100, &[run(0, 1)]),
     );
     let silence = Bounds::default().silence.as_millis() as u64;
-    let woken = START + silence + lease::DELAY_MARGIN.as_millis() as u64 + 1;
-    assert_eq!(slots.renew_lease(ms(woken)), None);
+    let resumed_at = START + silence + lease::DELAY_MARGIN.as_millis() as u64 + 1;
+    assert_eq!(slots.renew_lease(ms(resumed_at)), None);
 }
 
 /// Guards against a lost stop. It is sent again soon, since an order may be carried out seconds late.
@@ -239,13 +239,13 @@
 
 /// Guards against two runs of one task, and a healthy backend server that never gets work again. The backend
 /// server crashed twice in a row, and a heartbeat of the incarnation in between, which the agent doesn't know,
-/// arrives late. If the agent believed it, it gave up its runs, whose tasks started elsewhere, and treated the
-/// live incarnation as dead.
+/// arrives late. An agent that believed it gave up its runs, whose tasks started elsewhere, and treated the live
+/// incarnation as dead.
 #[test]
 fn an_incarnation_is_accepted_only_after_it_has_answered() {
     let mut slots = open();
     begin(&mut slots, START, run(0, 1));
-    for (at, checked) in [
+    for (at, result) in [
         (1, CheckResult::NoAnswer),
         (2, CheckResult::AnotherIncarnation),
     ] {
@@ -253,7 +253,7 @@
         let check = slots
             .heartbeat_received(at, heartbeat("middle"))
             .expect("unknown");
-        assert!(!slots.check_answered(at, at, &check, checked));
+        assert!(!slots.check_answered(at, at, &check, result));
         assert_eq!(
             (slots.server_incarnation().id.as_str(), slots.is_working()),
             ("life", true)
@@ -333,7 +333,8 @@
     assert!(!slots.advertised_backend().takes_work);
 }
 
-/// Guards against the late answer to a check whose incarnation has died since, after the next one was accepted.
+/// Guards against a dead incarnation that becomes the current one: the answer to its check arrives after it has
+/// died and the next one was accepted.
 #[test]
 fn a_late_answer_to_a_check_is_ignored() {
     let mut slots = open();
