--- a/src/decide/besteffort/board/agents.rs
+++ b/src/decide/besteffort/board/agents.rs
@@ -65,26 +65,26 @@
     pub fn has_found_agents(&self, now: time::Duration) -> bool {
         let has_waited_long = self
             .first_tick_at
-            .is_some_and(|born| now > born + MAX_LINKS_WAIT);
+            .is_some_and(|first_tick| now > first_tick + MAX_LINKS_WAIT);
         let is_quiet = self
             .last_linked_at
             .is_some_and(|last| now > last + LINKS_QUIET_FOR);
         has_waited_long || is_quiet
     }
 
-    /// Requeues the tasks whose runs an agent no longer has; `is_there` tells which it still has.
+    /// Requeues the tasks whose runs an agent no longer has; `still_has` tells which it still has.
     fn requeue_missing_runs(
         &mut self,
         now: time::Duration,
         agent: &str,
-        is_there: impl Fn(&Run) -> bool,
+        still_has: impl Fn(&Run) -> bool,
     ) {
         let mut missing = Vec::new();
         for (no, job) in &self.jobs {
             let runs = job
                 .placed_runs()
                 .filter(|(_, placed)| placed.agent == agent);
-            let lost = runs.filter(|(run, _)| !is_there(run));
+            let lost = runs.filter(|(run, _)| !still_has(run));
             missing.extend(lost.map(|(run, _)| (*no, run)));
         }
         let missing_count = missing.len() as u32;
@@ -272,14 +272,14 @@
         let Some(job) = self.jobs.get_mut(&no) else {
             return;
         };
-        let rank = job.queue_key(no, index);
+        let key = job.queue_key(no, index);
         let task = &mut job.tasks[index as usize];
         if let State::Placed(placed) = &task.state {
             task.last_agent = Some(placed.agent.clone());
         }
         task.state = State::Waiting;
         if now < job.submission.deadline {
-            self.queue.insert(rank);
+            self.queue.insert(key);
         }
     }
 
--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -287,8 +287,8 @@
         None
     }
 
-    /// Refuses from now on each job that may not have ended at `by`. A job is expected to take up to twice
-    /// its estimate.
+    /// Refuses from now on each job that may not have ended at `by`. A job sometimes takes twice its
+    /// estimate.
     pub fn stop_by(&mut self, by: time::Duration) {
         self.stop_by = Some(by);
     }
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -38,11 +38,11 @@
     judge_at: time::Duration,
 }
 
-fn suits(submission: &Submission, member: &ListedAgent) -> bool {
-    let has_label = |label| member.labels.contains(label);
-    member.service == submission.service
+fn suits(submission: &Submission, listed: &ListedAgent) -> bool {
+    let has_label = |label| listed.labels.contains(label);
+    listed.service == submission.service
         && submission.required_label.as_ref().is_none_or(has_label)
-        && member.size.fits(&submission.need)
+        && listed.size.fits(&submission.need)
 }
 
 impl Board {
@@ -95,7 +95,7 @@
     /// Where the latest extra links have taken less than one task each, the room is used up everywhere: more
     /// links would only make more entries compete for each place that becomes free.
     pub(super) fn open_extra_links(&mut self, now: time::Duration) {
-        let waiting = self.queue.first().and_then(|rank| self.jobs.get(&rank.2));
+        let waiting = self.queue.first().and_then(|key| self.jobs.get(&key.2));
         let Some(job) = waiting.filter(|job| !job.is_late()) else {
             self.extra_links.is_waiting = false;
             self.extra_links.opened.clear();
@@ -127,8 +127,8 @@
         self.extra_links.next_at = now + policy.extra_pause;
         let (opening, changes) =
             self.subset
-                .open_extra_links(now, policy.extra_at_once, |member| {
-                    suits(&job.submission, member)
+                .open_extra_links(now, policy.extra_at_once, |listed| {
+                    suits(&job.submission, listed)
                 });
         if !changes.is_empty() {
             log::debug!(job = job.submission.job.as_str(), links = changes.len(), queued = self.queue.len();
