--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -39,7 +39,7 @@
 pub struct Demand {
     opened_at: time::Instant,
     classified_at: time::Instant,
-    client_accounts: HashMap<id::ClientAccount, Offered>,
+    client_accounts: HashMap<id::ClientAccount, AccountDemand>,
     /// Mean slot time of a job, in seconds.
     mean_job_seconds: f64,
     /// Number of light client accounts, at the last classification.
@@ -50,7 +50,7 @@
 
 /// The recent demand of one client account.
 #[derive(Clone, Debug)]
-struct Offered {
+struct AccountDemand {
     /// Slot time in seconds, decayed up to `decayed_at`.
     seconds: f64,
     decayed_at: time::Instant,
@@ -58,7 +58,7 @@
     share: Option<f64>,
 }
 
-impl Offered {
+impl AccountDemand {
     /// Lets the offered work decay up to now.
     fn decay(&mut self, now: time::Instant) {
         let age = now.saturating_duration_since(self.decayed_at).as_secs_f64();
@@ -83,16 +83,16 @@
     /// Records work that a client account asks for, in seconds of slot time; refused work counts
     /// too.
     pub fn record_offer(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
-        let offered = self
+        let demand = self
             .client_accounts
             .entry(account.clone())
-            .or_insert_with(|| Offered {
+            .or_insert_with(|| AccountDemand {
                 seconds: 0.0,
                 decayed_at: now,
                 share: None,
             });
-        offered.decay(now);
-        offered.seconds += seconds;
+        demand.decay(now);
+        demand.seconds += seconds;
         self.mean_job_seconds += JOB_WEIGHT * (seconds - self.mean_job_seconds);
     }
 
@@ -100,14 +100,14 @@
     pub fn is_light(&self, account: &id::ClientAccount) -> bool {
         self.client_accounts
             .get(account)
-            .is_none_or(|offered| offered.share.is_none())
+            .is_none_or(|demand| demand.share.is_none())
     }
 
     /// Returns the slots that a heavy client account can expect to get; `None` for a light one.
     pub fn heavy_share(&self, account: &id::ClientAccount) -> Option<f64> {
         self.client_accounts
             .get(account)
-            .and_then(|offered| offered.share)
+            .and_then(|demand| demand.share)
     }
 
     /// Returns the number of light client accounts with recent demand.
@@ -123,9 +123,9 @@
     /// Adds the difference between used and estimated slot time of a task, in seconds, so that
     /// wrong declarations make neither their client account light nor others heavy.
     pub fn correct(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
-        if let Some(offered) = self.client_accounts.get_mut(account) {
-            offered.decay(now);
-            offered.seconds = (offered.seconds + seconds).max(0.0);
+        if let Some(demand) = self.client_accounts.get_mut(account) {
+            demand.decay(now);
+            demand.seconds = (demand.seconds + seconds).max(0.0);
         }
     }
 
@@ -150,14 +150,14 @@
             // before it leave.
             let share = (i >= light_count).then(|| (left / sharers).max(1.0));
             left -= share.map_or(0.0, |share| share.min(*rate));
-            let offered = self
+            let demand = self
                 .client_accounts
                 .get_mut(account)
                 .expect("rates come from the same map");
-            if offered.share.is_some() != share.is_some() {
+            if demand.share.is_some() != share.is_some() {
                 changed.push((account.clone(), share.is_none()));
             }
-            offered.share = share;
+            demand.share = share;
         }
         changed
     }
@@ -173,13 +173,13 @@
         let window = DECAY_TIME.as_secs_f64();
         let age = now.saturating_duration_since(self.opened_at).as_secs_f64();
         let span = (window * (1.0 - (-age / window).exp())).max(MIN_RATE_SPAN);
-        self.client_accounts.retain(|_, offered| {
-            offered.decay(now);
-            offered.share.is_some() || offered.seconds > NEGLIGIBLE_RATE * span
+        self.client_accounts.retain(|_, demand| {
+            demand.decay(now);
+            demand.share.is_some() || demand.seconds > NEGLIGIBLE_RATE * span
         });
         self.client_accounts
             .iter()
-            .map(|(account, offered)| (account.clone(), offered.seconds / span))
+            .map(|(account, demand)| (account.clone(), demand.seconds / span))
             .collect()
     }
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -106,11 +106,13 @@
     }
 }
 
-/// How many agents have a certain capacity, and when one joined or left last.
+/// How many agents have a certain capacity, and when that number last changed.
 #[derive(Clone, Copy, Debug)]
 struct CapacityRecord {
+    /// Number of agents that have it now.
     present: u32,
-    last: time::Instant,
+    /// When an agent last got or lost it.
+    last_change: time::Instant,
 }
 
 /// An agent's part in the fleet's totals, which an update replaces.
@@ -123,7 +125,7 @@
 impl CapacityRecord {
     /// Returns whether tasks that need such an agent may wait for one.
     fn is_remembered(&self, now: time::Instant) -> bool {
-        self.present > 0 || now.saturating_duration_since(self.last) < CAPACITY_RETENTION
+        self.present > 0 || now.saturating_duration_since(self.last_change) < CAPACITY_RETENTION
     }
 }
 
@@ -377,18 +379,18 @@
         }
         let first = CapacityRecord {
             present: 0,
-            last: now,
+            last_change: now,
         };
         let seen = self.capacities.entry(capacity).or_insert(first);
         seen.present += 1;
-        seen.last = now;
+        seen.last_change = now;
     }
 
     /// Counts an agent that no longer has a capacity.
     fn record_departure(&mut self, now: time::Instant, capacity: &task::Needs) {
         if let Some(seen) = self.capacities.get_mut(capacity) {
             seen.present = seen.present.saturating_sub(1);
-            seen.last = now;
+            seen.last_change = now;
         }
     }
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -144,6 +144,7 @@
 pub struct Health {
     /// Workers with any outcome.
     records: HashMap<id::AgentId, WorkerRecord>,
+    /// Outcomes of each client account's tasks.
     client_accounts: HashMap<id::ClientAccount, FailureShare>,
     /// Outcomes of all workers.
     peers: FailureShare,
--- a/src/decide/inherit.rs
+++ b/src/decide/inherit.rs
@@ -118,7 +118,8 @@
 }
 
 impl Inheritance {
-    /// Creates the knowledge of an owner whose epoch was written at `wall` since the Unix epoch.
+    /// Creates the record of an owner whose epoch was written at `wall` since the Unix epoch;
+    /// members, claims and reports are added later.
     pub fn open(now: time::Instant, wall: time::Duration) -> Inheritance {
         Inheritance {
             taken_at: wall,
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It was never started here; since its owner asked for it, the starts sent so far are refused.
+    /// It has not run here, and the starts of it that were sent so far are refused from now on.
     Withdrawn,
     /// It was started and is running.
     Started,
