--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -184,9 +184,9 @@
         self.record_arrival(now, agent.load.capacity);
         self.slots += agent.usable_slots();
         self.free_slots += agent.free_slots();
-        for (needs, room) in &mut self.agents_with_room {
+        for (needs, agents) in &mut self.agents_with_room {
             if agent.fits(needs) {
-                room.insert((agent.free_slots(), id.clone()));
+                agents.insert((agent.free_slots(), id.clone()));
             }
         }
         if agent.state == State::Silent {
@@ -202,8 +202,8 @@
         self.slots -= agent.usable_slots();
         self.free_slots -= agent.free_slots();
         let entry = (agent.free_slots(), id.clone());
-        for room in self.agents_with_room.values_mut() {
-            room.remove(&entry);
+        for agents in self.agents_with_room.values_mut() {
+            agents.remove(&entry);
         }
         self.silent.remove(&(agent.since, id.clone()));
         Some(agent)
@@ -301,15 +301,15 @@
                 .retain(|n, _| *n == task::Needs::default());
         }
         let fitting = self.agents.iter().filter(|(_, agent)| agent.fits(needs));
-        let room = fitting.map(|(id, agent)| (agent.free_slots(), id.clone()));
-        let room = room.collect();
-        self.agents_with_room.insert(*needs, room);
+        let agents = fitting.map(|(id, agent)| (agent.free_slots(), id.clone()));
+        let agents = agents.collect();
+        self.agents_with_room.insert(*needs, agents);
     }
 
     /// Returns whether some agent has room for a task with these needs now.
     pub fn has_room(&self, needs: &task::Needs) -> bool {
         match self.agents_with_room.get(needs) {
-            Some(room) => !room.is_empty(),
+            Some(agents) => !agents.is_empty(),
             None => self.agents.values().any(|agent| agent.fits(needs)),
         }
     }
@@ -360,14 +360,14 @@
         self.free_slots = self.free_slots - before.free + after.free;
         let old = (before.free, id.clone());
         let new = (after.free, id.clone());
-        for (needs, room) in &mut self.agents_with_room {
+        for (needs, agents) in &mut self.agents_with_room {
             let fits = agent.fits(needs);
             if before.free == after.free && *needs == task::Needs::default() {
                 continue;
             }
-            room.remove(&old);
+            agents.remove(&old);
             if fits {
-                room.insert(new.clone());
+                agents.insert(new.clone());
             }
         }
     }
