--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -177,7 +177,7 @@
             priority: job.priority,
             urgency_ms: job.latest_start.as_millis() as u64,
             deadline_ms: job.submission.deadline.as_millis() as u64,
-            patience_ms: max_wait.as_millis() as u64,
+            max_wait_ms: max_wait.as_millis() as u64,
             suspicion,
         };
         self.flow
--- a/src/decide/besteffort/message.rs
+++ b/src/decide/besteffort/message.rs
@@ -275,7 +275,8 @@
     #[serde(default, skip_serializing_if = "Room::is_empty")]
     pub lent: Room,
     /// Number of entries that compete for the room: this one, and the others that have work waiting.
-    pub sharers: u32,
+    #[serde(rename = "sharers")]
+    pub competing_entries: u32,
     /// Introduces the agent, in the first message of a link only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hello: Option<Hello>,
@@ -318,7 +319,8 @@
     /// When the run must have ended, in milliseconds on the agent's clock.
     pub deadline_ms: u64,
     /// Longest time that the run may wait at the agent for room, in milliseconds.
-    pub patience_ms: u64,
+    #[serde(rename = "patience_ms")]
+    pub max_wait_ms: u64,
     /// Suspicion points of the task as the cause of crashes; see
     /// [`crashes`](crate::decide::besteffort::crashes).
     #[serde(default, skip_serializing_if = "is_zero")]
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -99,7 +99,7 @@
         let mut message = AgentMessage {
             now_ms,
             free: self.free().minus(&self.lent_room(Some(name))),
-            sharers: self.sharers(now, name),
+            competing_entries: self.sharers(now, name),
             ..AgentMessage::default()
         };
         if let Some(entry) = self.entries.get_mut(name) {
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -254,7 +254,7 @@
                 .get(&held.entry)
                 .is_none_or(|e| now >= e.alive_until);
             let past = now >= millis(held.start.deadline_ms);
-            let waited = now.saturating_sub(held.since) >= millis(held.start.patience_ms);
+            let waited = now.saturating_sub(held.since) >= millis(held.start.max_wait_ms);
             if held.state == State::Waiting && waited {
                 returned.push(run.clone());
             } else if (silent || past) && held.must_end_since.is_none() {
--- a/src/decide/besteffort/view.rs
+++ b/src/decide/besteffort/view.rs
@@ -86,7 +86,7 @@
         self.heard_at = now;
         self.free = message.free;
         self.lent = message.lent;
-        self.competing_entries = message.sharers.max(1);
+        self.competing_entries = message.competing_entries.max(1);
         while self
             .unread_starts
             .front()
--- a/tests/besteffort_board.rs
+++ b/tests/besteffort_board.rs
@@ -65,7 +65,7 @@
     AgentMessage {
         free: room(free),
         starts_read,
-        sharers: 1,
+        competing_entries: 1,
         ..AgentMessage::default()
     }
 }
--- a/tests/besteffort_crashes.rs
+++ b/tests/besteffort_crashes.rs
@@ -43,7 +43,7 @@
 fn suspect(run: Run, points: u32) -> Start {
     Start {
         suspicion: points,
-        patience_ms: 60_000,
+        max_wait_ms: 60_000,
         ..besteffort::start(run, START)
     }
 }
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -182,7 +182,11 @@
 fn only_entries_with_work_waiting_compete() {
     let mut slots = full_agent(&["a", "b", "c"]);
     let sharers = |slots: &mut Slots| {
-        ["a", "b", "c"].map(|name| slots.next_message(&entry(name), ms(START + 2)).sharers)
+        ["a", "b", "c"].map(|name| {
+            slots
+                .next_message(&entry(name), ms(START + 2))
+                .competing_entries
+        })
     };
     assert_eq!(sharers(&mut slots), [1, 1, 1]);
     slots.update_waiting_work(ms(START + 1), &entry("a"), START, work(0, 5, 1));
@@ -191,5 +195,5 @@
     assert_eq!(sharers(&mut slots), [2, 2, 3]);
     slots.message_received(ms(START + 500), &entry("a"), START + 500);
     let late = slots.next_message(&entry("a"), ms(START + 500));
-    assert_eq!(late.sharers, 1, "the other entry is silent");
+    assert_eq!(late.competing_entries, 1, "the other entry is silent");
 }
--- a/tests/besteffort_load/load.rs
+++ b/tests/besteffort_load/load.rs
@@ -77,7 +77,7 @@
     /// Whether a task of the job crashes its backend server.
     pub fn has_crashing_task(&self, job: &str) -> bool {
         let (number, class) = job.split_at(job.len() - 1);
-        let number = u64::from_str_radix(number, 16).expect("numbered by the play");
+        let number = u64::from_str_radix(number, 16).expect("numbered by the simulation");
         self.crashing_one_in > 0 && class == "0" && number.is_multiple_of(self.crashing_one_in)
     }
 }
--- a/tests/besteffort_load/world.rs
+++ b/tests/besteffort_load/world.rs
@@ -68,8 +68,8 @@
     Ended(usize, Run),
     /// A run crashes its backend server, which comes back later.
     Crash(usize, Run),
-    Back(usize),
-    Job,
+    ServerBack(usize),
+    NextJob,
     /// A link that an entry has asked for comes up, if the entry still wants it.
     Linked(usize, usize),
     /// The agents of the first failure domain are lost with all their runs.
@@ -175,7 +175,7 @@
             let phase = world.rng.random_range(0..TICK);
             world.after(phase, Event::EntryTick(e));
         }
-        world.after(FIRST_JOB_AFTER, Event::Job);
+        world.after(FIRST_JOB_AFTER, Event::NextJob);
         if load.loses_domain {
             world.after(FIRST_JOB_AFTER + DOMAIN_LOST_AFTER, Event::DomainLost);
         }
@@ -256,7 +256,7 @@
     fn change_link(&mut self, e: usize, change: LinkChange) {
         let number = |agent: &str| -> usize {
             let number = agent.strip_prefix("agent-").and_then(|n| n.parse().ok());
-            number.expect("numbered by the play")
+            number.expect("numbered by the simulation")
         };
         match change {
             LinkChange::Open(agent, _) => {
@@ -331,7 +331,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Job => self.submit_job(),
+            Event::NextJob => self.submit_job(),
             Event::Linked(e, a) => self.linked(e, a),
             Event::DomainLost => self.lose_domain(),
             Event::AgentTick(a) if self.agents[a].is_lost => {}
@@ -356,7 +356,7 @@
                 self.list_runs(a);
             }
             Event::Crash(a, run) => self.crash(a, &run),
-            Event::Back(a) => {
+            Event::ServerBack(a) => {
                 self.agents[a].incarnation += 1;
                 let backend = backend(a, self.agents[a].incarnation, &self.load);
                 announce_server(&mut self.agents[a].slots, self.now, backend);
@@ -393,7 +393,7 @@
         let places = (PLACES * self.load.agents as u64) as f64;
         let every = mean / places / self.load.load_factor * MS as f64;
         let pause = self.rng.random_range(0.0..2.0 * every);
-        self.after(pause as Us, Event::Job);
+        self.after(pause as Us, Event::NextJob);
         let pick = self.rng.random_range(0..100);
         let class = match pick {
             0..24 => 0,
@@ -622,7 +622,7 @@
         agent.down_until = self.now + DOWN_TIME;
         let task = (run.job.to_string(), run.task);
         *self.results.crashed.entry(task).or_default() += 1;
-        self.after(DOWN_TIME, Event::Back(a));
+        self.after(DOWN_TIME, Event::ServerBack(a));
     }
 
     fn order(&mut self, a: usize, order: Order) {
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -134,7 +134,7 @@
 fn begin(slots: &mut Slots, name: &EntryIncarnation, n: u32) -> Run {
     let run = besteffort::run("job", n, 1);
     let start = Start {
-        patience_ms: 60_000,
+        max_wait_ms: 60_000,
         ..besteffort::start(run.clone(), START)
     };
     slots.start_requested(ms(START), name, true, start);
@@ -233,7 +233,7 @@
 fn announce_size(board: &mut Board, at: u64, cpu: i64) {
     let message = AgentMessage {
         free: size(cpu),
-        sharers: 1,
+        competing_entries: 1,
         backend: Some(Backend {
             size: size(cpu),
             ..besteffort::backend("life")
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -40,7 +40,7 @@
             ..besteffort::NEED
         },
         deadline_ms: at + 5_000,
-        patience_ms: 40,
+        max_wait_ms: 40,
         ..besteffort::start(run, at)
     }
 }
--- a/tests/besteffort_subset.rs
+++ b/tests/besteffort_subset.rs
@@ -253,7 +253,7 @@
                 cpu: 1_000 * places,
                 ..ROOM
             },
-            sharers: 1,
+            competing_entries: 1,
             backend: Some(Backend {
                 incarnation: ServerIncarnation::with_id(agent),
                 service: member.service,
--- a/tests/support/besteffort.rs
+++ b/tests/support/besteffort.rs
@@ -212,7 +212,7 @@
         priority: 0,
         urgency_ms: now_ms,
         deadline_ms: now_ms + 60_000,
-        patience_ms: 60_000,
+        max_wait_ms: 60_000,
         suspicion: 0,
     }
 }
