--- a/src/bench/decisions.rs
+++ b/src/bench/decisions.rs
@@ -206,7 +206,7 @@
     fn time(&mut self, event: impl FnOnce(&mut owner::Owner, time::Instant)) {
         let begun = time::Instant::now();
         event(&mut self.owner, self.now);
-        let actions = self.owner.actions();
+        let actions = self.owner.take_actions();
         self.spent += begun.elapsed();
         for action in actions {
             match action {
--- a/src/bench/memory.rs
+++ b/src/bench/memory.rs
@@ -78,7 +78,7 @@
     for number in 0..n.div_ceil(TASKS) as u64 {
         let job = decisions::submission(number, 48, TASKS);
         owner.submit(now, Arc::new(job), number);
-        owner.actions();
+        owner.take_actions();
     }
     owner
 }
@@ -92,7 +92,7 @@
         let job = decisions::submission(number, 48, TASKS);
         let key = job.key.clone();
         owner.submit(now, Arc::new(job), number);
-        owner.actions();
+        owner.take_actions();
         for index in 0..TASKS as u32 {
             let answer = notice::Answer {
                 id: task::Id {
@@ -104,7 +104,7 @@
             };
             owner.handle_notice(now, &"agent-0000".into(), notice::Notice::Answer(answer));
         }
-        owner.actions();
+        owner.take_actions();
     }
     owner
 }
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -85,7 +85,7 @@
     /// The latest reads of the watched rows, by this entry and by others.
     watch_state: Mutex<head::WatchState>,
     /// Pauses between attempts while the table fails.
-    outage: Mutex<backoff::Backoff>,
+    backoff: Mutex<backoff::Backoff>,
     /// Makes the loop check the cells at once.
     wake: Notify,
 }
@@ -114,7 +114,7 @@
         events,
         states: Mutex::default(),
         watch_state: Mutex::default(),
-        outage: Mutex::new(backoff::open(MIN_PAUSE, MAX_PAUSE)),
+        backoff: Mutex::new(backoff::open(MIN_PAUSE, MAX_PAUSE)),
         wake: Notify::new(),
     })
 }
@@ -217,7 +217,7 @@
         loop {
             let woken = tokio::time::timeout(self.next_due_in(), self.wake.notified()).await;
             // While the table is down the pauses between attempts grow, whatever woke the loop.
-            tokio::time::sleep(self.with_outage(|outage| outage.left())).await;
+            tokio::time::sleep(self.with_backoff(|backoff| backoff.left())).await;
             if woken.is_ok() || self.any_needs_recheck() || self.read_due_in().is_zero() {
                 self.check_cells().await;
             }
@@ -304,13 +304,13 @@
 
     /// Notes whether the table answered, which sets the pause before the next attempt.
     fn note_answer<T>(&self, answer: Result<T, platform::Error>) -> Result<T, platform::Error> {
-        self.with_outage(|outage| outage.note(answer.is_ok()));
+        self.with_backoff(|backoff| backoff.note(answer.is_ok()));
         answer
     }
 
     /// Applies a function to the pauses for an outage of the table.
-    fn with_outage<T>(&self, f: impl FnOnce(&mut backoff::Backoff) -> T) -> T {
-        f(&mut self.outage.lock().expect("the outage is whole"))
+    fn with_backoff<T>(&self, f: impl FnOnce(&mut backoff::Backoff) -> T) -> T {
+        f(&mut self.backoff.lock().expect("the backoff is whole"))
     }
 
     fn watch_state(&self) -> MutexGuard<'_, head::WatchState> {
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -188,7 +188,7 @@
     }
 
     /// Takes the actions that have to be done, in this order.
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -219,7 +219,7 @@
         let mut owner = self.lock();
         let now = time::Instant::now();
         event(&mut owner, now);
-        for action in owner.actions() {
+        for action in owner.take_actions() {
             self.perform(now, action);
         }
     }
--- a/tests/claims_forgotten.rs
+++ b/tests/claims_forgotten.rs
@@ -75,7 +75,7 @@
     owner.set_members(now, Vec::new(), &[]);
     owner.set_earlier_claims(now, vec![claim]);
     owner.cancel(now, &"school/1".into(), 1);
-    let replies = owner.actions();
+    let replies = owner.take_actions();
     let [lovagemill::decide::action::Action::Reply(1, ending)] = replies.as_slice() else {
         panic!("one reply: {replies:?}");
     };
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -286,7 +286,7 @@
 
     /// Carries out the owner's actions.
     fn apply_actions(&mut self) {
-        for action in self.owner.actions() {
+        for action in self.owner.take_actions() {
             match action {
                 Action::Record(_) => {}
                 Action::Order(agent, order::Order::Start(start)) => self.start(agent, start),
--- a/tests/fault_cancel.rs
+++ b/tests/fault_cancel.rs
@@ -29,7 +29,7 @@
 fn cancelling_an_unknown_job_does_not_prove_that_it_did_not_run() {
     let FakeCell { mut owner, now, .. } = decide_support::open(0);
     owner.cancel(now, &"canoas/k".into(), 1);
-    assert_eq!(outcomes(&owner.actions()), [code::Outcome::Unknown]);
+    assert_eq!(outcomes(&owner.take_actions()), [code::Outcome::Unknown]);
 }
 
 /// Guards against "not run" for a job that runs later. A job waits for its claim and is cancelled
@@ -42,7 +42,7 @@
     let job = decide_support::submission("canoas/k", None, decide_support::tasks(1, 1, 100));
     owner.submit(now, Arc::new(job), 1);
     owner.cancel(now, &"canoas/k".into(), 2);
-    let outcomes = outcomes(&owner.actions());
+    let outcomes = outcomes(&owner.take_actions());
     assert_eq!(outcomes.len(), 2);
     assert!(!outcomes.contains(&code::Outcome::NotRun), "{outcomes:?}");
 }
--- a/tests/fault_resumed_job.rs
+++ b/tests/fault_resumed_job.rs
@@ -93,7 +93,7 @@
     let now = time::Instant::now();
     let mut owner = successor(now, "canoas/k");
     owner.handle_welcome(now, &"a".into(), welcome(2, Vec::new()), load());
-    owner.actions();
+    owner.take_actions();
     owner.submit(now, job("canoas/k"), 1);
     let id = task::Id {
         job: "canoas/k".into(),
@@ -103,10 +103,10 @@
     let attempt = u32::MAX;
     let asked = order::Attempt { id, attempt };
     let withdrawn = notice::Notice::Standing(asked, ledger::TaskState::Withdrawn);
-    let mut actions = owner.actions();
+    let mut actions = owner.take_actions();
     owner.handle_notice(now, &"a".into(), withdrawn);
     owner.dispatch(now);
-    actions.extend(owner.actions());
+    actions.extend(owner.take_actions());
     assert_eq!(starts(&actions), 0, "{actions:?}");
     assert_eq!(answered(&actions), Some(Code::WorkerLost));
 }
@@ -121,9 +121,9 @@
     owner.agent_link_lost(now, &"a".into());
     let later = now + owner::AGENT_LOST_AFTER;
     owner.tick(later);
-    owner.actions();
+    owner.take_actions();
     owner.submit(later, job("canoas/k"), 1);
-    assert_eq!(answered(&owner.actions()), Some(Code::WorkerLost));
+    assert_eq!(answered(&owner.take_actions()), Some(Code::WorkerLost));
 }
 
 /// Guards against giving up a task that still runs. The link to an agent breaks, for a shorter time
@@ -135,7 +135,7 @@
     let mut owner = successor(now, "canoas/k");
     owner.agent_link_lost(now, &"a".into());
     owner.submit(now, job("canoas/k"), 1);
-    assert_eq!(answered(&owner.actions()), None);
+    assert_eq!(answered(&owner.take_actions()), None);
     let id = task::Id {
         job: "canoas/k".into(),
         index: 0,
@@ -150,5 +150,5 @@
     });
     owner.handle_notice(now, &"a".into(), answer);
     let complete = |action: &Action| matches!(action, Action::Reply(1, ending) if matches!(&**ending, submission::Ending::Complete(_)));
-    assert!(owner.actions().iter().any(complete));
+    assert!(owner.take_actions().iter().any(complete));
 }
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -188,7 +188,7 @@
     let before = ownership.owner.digest();
     let actions = ownership.owner.change(|owner| {
         event(owner, now);
-        owner.actions()
+        owner.take_actions()
     });
     let changed = ownership.owner.digest() != before || !actions.is_empty();
     for action in actions {
