--- a/src/cli/entry.rs
+++ b/src/cli/entry.rs
@@ -112,7 +112,7 @@
     );
     tokio::select! {
         () = cli::stop_signal() => {}
-        () = entry.stop_asked() => {}
+        () = entry.drain_requested() => {}
     }
     log::info!("entry drains");
     entry.stop().await;
--- a/src/entry/agent_link.rs
+++ b/src/entry/agent_link.rs
@@ -1,4 +1,4 @@
-//! An owner's link to one agent, watched in both directions.
+//! An owner's link to one agent, whose silence is detected in both directions.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,85 +13,85 @@
 use crate::wire::link;
 use crate::wire::rows;
 
-/// The link to one agent, and the loop that tends it.
+/// The link to one agent, and the task that maintains it.
 pub struct AgentLink {
-    /// The agent's row.
+    /// The agent's row in the table, which holds its address.
     pub row: rows::Agent,
-    /// The sending half, once the agent has said welcome.
+    /// The sending half, once the agent's welcome has come.
     pub tx: Option<link::Sender<Order>>,
     /// The connection that is open or being made.
     pub sender: Option<Arc<LinkSender>>,
-    /// Acknowledgements that wait for an order to ride with.
-    pub lazy: Vec<Order>,
-    /// When the oldest of those came.
-    pub lazy_since: time::Instant,
-    /// When the agent was last heard.
-    pub heard: time::Instant,
-    /// The loop that keeps the agent linked.
-    pub tending: JoinHandle<()>,
+    /// Acknowledgements that wait to be sent together with an order.
+    pub delayed_acks: Vec<Order>,
+    /// When the oldest of the delayed acknowledgements was added.
+    pub oldest_ack_at: time::Instant,
+    /// When the last message of the agent came, or its last connection was begun.
+    pub last_heard: time::Instant,
+    /// The task that connects to the agent again after each loss.
+    pub link_task: JoinHandle<()>,
 }
 
 impl AgentLink {
-    /// Opens a link that the loop given will connect.
-    pub fn open(row: rows::Agent, tending: JoinHandle<()>) -> AgentLink {
+    /// Opens a link that the task given will connect.
+    pub fn open(row: rows::Agent, link_task: JoinHandle<()>) -> AgentLink {
         let now = time::Instant::now();
         AgentLink {
             row,
             tx: None,
             sender: None,
-            lazy: Vec::new(),
-            lazy_since: now,
-            heard: now,
-            tending,
+            delayed_acks: Vec::new(),
+            oldest_ack_at: now,
+            last_heard: now,
+            link_task,
         }
     }
 
-    /// Tells whether what was sent on the link doesn't arrive, though the agent is heard.
+    /// Tells whether messages that were sent on the link don't arrive, even if the agent is heard.
     pub fn is_stuck(&self, now: time::Instant) -> bool {
         let sender = self.sender.as_ref();
         sender.is_some_and(|sender| sender.delivery().is_stuck(now, agent::SILENCE))
     }
 
-    /// Drops the sending half, wherever it is: the link closes and is replaced. Tells whether
+    /// Drops the sending half, used or not, so that the link closes and is replaced. Tells whether
     /// there was one.
     ///
-    /// Guards against an agent whose welcome is lost: until it comes the half waits beside the
-    /// link, and a link of which it was forgotten there would stay open and unused for ever.
+    /// Until the agent's welcome comes, the [`LinkSender`] holds the sending half. If the welcome
+    /// is lost and that half were kept, the link would stay open and unused for ever.
     pub fn close(&mut self) -> bool {
-        let unused = self.sender.take().and_then(|sender| sender.take());
+        let unused = self.sender.take().and_then(|sender| sender.take_tx());
         self.tx.take().or(unused).is_some()
     }
 }
 
-/// The sending half of a link until the agent's welcome puts it to use.
+/// The owner's side of one connection; holds the sending half until the agent's welcome comes.
 pub struct LinkSender {
-    /// The owner's number for the link.
+    /// The number that the owner gave to the connection.
     pub link: id::Link,
-    slot: Mutex<Option<link::Sender<Order>>>,
-    /// The life that said welcome.
+    unused_tx: Mutex<Option<link::Sender<Order>>>,
+    /// The agent's incarnation, from its welcome; 0 before it.
     pub incarnation: AtomicU64,
     delivery: Mutex<delivery::Delivery>,
 }
 
 impl LinkSender {
-    /// Opens the half that belongs to a new link.
+    /// Opens the owner's side of a new connection, under a random number.
     pub fn open(tx: link::Sender<Order>) -> LinkSender {
         LinkSender {
-            // JSON numbers of other languages hold 53 bits.
+            // Numbers in the JSON of other languages hold only 53 bits.
             link: rand::random::<u64>() >> 11,
-            slot: Mutex::new(Some(tx)),
+            unused_tx: Mutex::new(Some(tx)),
             incarnation: AtomicU64::new(0),
             delivery: Mutex::default(),
         }
     }
 
-    /// Takes the sending half, once.
-    pub fn take(&self) -> Option<link::Sender<Order>> {
-        self.slot.lock().expect("the slot is whole").take()
+    /// Takes the sending half out; only the first call returns it.
+    pub fn take_tx(&self) -> Option<link::Sender<Order>> {
+        self.unused_tx.lock().expect("not poisoned").take()
     }
 
-    /// The messages that went out on the link.
+    /// Which messages were sent on the connection and confirmed by the agent.
     pub fn delivery(&self) -> MutexGuard<'_, delivery::Delivery> {
-        self.delivery.lock().expect("the delivery is whole")
+        self.delivery.lock().expect("not poisoned")
     }
 }
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -1,4 +1,5 @@
-//! A cell that this entry owns: feeds the owner's decisions with events and does what they ask.
+//! A cell that this entry owns: passes events to the owner's decisions and performs the actions
+//! that they return.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -25,18 +26,18 @@
 use crate::wire::platform;
 use crate::wire::rows;
 
-/// Longest that acknowledgements wait for an order to ride with.
-const MAX_LAZY: time::Duration = time::Duration::from_secs(3);
+/// Longest that acknowledgements wait to be sent together with an order.
+const MAX_ACK_DELAY: time::Duration = time::Duration::from_secs(3);
 
-/// Who waits for a job's ending.
+/// Where a job's ending is sent.
 pub enum Waiter {
-    /// A caller of this entry.
-    Here(oneshot::Sender<Arc<submission::Ending>>),
-    /// Another entry, under its own number.
+    /// To a caller of this entry.
+    Caller(oneshot::Sender<Arc<submission::Ending>>),
+    /// To the entry that passed the job on, with that entry's sequence number for it.
     Peer(link::Sender<peer::Returned>, u64),
 }
 
-/// A running cell.
+/// A cell that runs at this entry until it is stopped.
 pub struct Cell {
     scope: Scope,
     spans: spans::Owner,
@@ -46,20 +47,20 @@
     next_waiter: AtomicU64,
     claims: mpsc::UnboundedSender<action::Claim>,
     members_changed: Arc<Notify>,
-    members_seen: Mutex<Option<platform::Revision>>,
+    members_revision: Mutex<Option<platform::Revision>>,
     tasks: Mutex<Vec<JoinHandle<()>>>,
     stopped: AtomicBool,
 }
 
-/// Opens a cell whose epoch was just written to the table. Returns it with the claims that it asks to
-/// be written.
+/// Opens a cell whose epoch was just written to the table. Returns it with the receiver of the
+/// claims that are to be written to the table.
 pub fn open(scope: Scope) -> (Arc<Cell>, mpsc::UnboundedReceiver<action::Claim>) {
     let now = time::Instant::now();
     let wall = clock::since_epoch();
     let mut owner = owner::Owner::open(scope.epoch, scope.policy, scope.config.clone(), now, wall);
-    let ahead = scope.doubt.saturating_duration_since(now);
-    let behind = now.saturating_duration_since(scope.doubt);
-    owner.set_takeover(scope.begun, (wall + ahead).saturating_sub(behind));
+    let ahead = scope.unclaimed_starts_until.saturating_duration_since(now);
+    let behind = now.saturating_duration_since(scope.unclaimed_starts_until);
+    owner.set_takeover(scope.proof_begun, (wall + ahead).saturating_sub(behind));
     let (tx, rx) = mpsc::unbounded_channel();
     let spans = spans::Owner {
         entry: scope.entry.clone(),
@@ -76,7 +77,7 @@
         next_waiter: AtomicU64::new(1),
         claims: tx,
         members_changed: Arc::default(),
-        members_seen: Mutex::default(),
+        members_revision: Mutex::default(),
         tasks: Mutex::default(),
         stopped: AtomicBool::new(false),
     });
@@ -89,66 +90,69 @@
         self.scope.epoch
     }
 
-    /// Takes a submission.
+    /// Passes a submission to the owner; `waiter` gets its ending.
     pub fn submit(&self, submission: Arc<submission::Submission>, waiter: Waiter) {
-        let number = self.enlist(waiter);
-        self.with(|owner, now| owner.submit(now, submission, number));
-        self.turn_away_if_stopped();
+        let waiter_id = self.add_waiter(waiter);
+        self.apply_event(|owner, now| owner.submit(now, submission, waiter_id));
+        self.release_waiters_if_stopped();
     }
 
-    /// Withdraws a job.
+    /// Withdraws a job; `waiter` gets the ending.
     pub fn cancel(&self, key: &id::JobKey, waiter: Waiter) {
-        let number = self.enlist(waiter);
-        self.with(|owner, now| owner.cancel(now, key, number));
-        self.turn_away_if_stopped();
+        let waiter_id = self.add_waiter(waiter);
+        self.apply_event(|owner, now| owner.cancel(now, key, waiter_id));
+        self.release_waiters_if_stopped();
     }
 
     /// Puts a newer configuration into force.
     pub fn configure(&self, config: Arc<class::Versioned>) {
-        self.with(|owner, _| owner.configure(config));
+        self.apply_event(|owner, _| owner.configure(config));
     }
 
-    /// Notes that the ownership was seen in the table.
-    pub fn table_seen(&self, begun: time::Instant) {
-        self.with(|owner, _| owner.note_ownership_proof(begun));
+    /// Notes that a table operation which began at the time given proved the ownership.
+    pub fn note_ownership_proof(&self, begun: time::Instant) {
+        self.apply_event(|owner, _| owner.note_ownership_proof(begun));
     }
 
-    /// Notes the revision of the row that every join and leave changes.
-    pub fn members_row(&self, revision: platform::Revision) {
-        let mut seen = self.members_seen.lock().expect("the revision is whole");
-        if seen.replace(revision) != Some(revision) {
+    /// Notes the revision of the row that each join and leave of an agent changes; a new one has
+    /// the members read again.
+    pub fn note_members_revision(&self, revision: platform::Revision) {
+        let mut known = self.members_revision.lock().expect("not poisoned");
+        if known.replace(revision) != Some(revision) {
             self.members_changed.notify_one();
         }
     }
 
-    /// Reads the owner's state, for status and metrics.
+    /// Reads the owner's state, for status and metrics, under its lock.
     pub fn read<T>(&self, f: impl FnOnce(&owner::Owner) -> T) -> T {
         f(&self.lock())
     }
 
-    /// Runs a task until the cell is stopped.
-    pub fn keep(&self, task: JoinHandle<()>) {
-        let mut tasks = self.tasks.lock().expect("the cell's tasks are whole");
+    /// Registers a task that is aborted when the cell is stopped.
+    pub fn add_task(&self, task: JoinHandle<()>) {
+        let mut tasks = self.tasks.lock().expect("not poisoned");
         tasks.push(task);
     }
 
-    /// Is told where the members may have changed.
+    /// The signal that the cell's members may have changed.
     pub fn members_changed(&self) -> Arc<Notify> {
         self.members_changed.clone()
     }
 
-    /// Brings the links in line with the members; `link` starts the loop that keeps one.
-    pub fn tend_members(
+    /// Closes the links to agents that have left or whose row has changed, and opens those to new
+    /// members; `spawn_link` starts the loop that maintains one. The owner gives up agents that
+    /// left.
+    pub fn update_members(
         &self,
         members: &HashMap<id::AgentId, rows::Agent>,
-        link: impl Fn(&id::AgentId, &rows::Agent) -> JoinHandle<()>,
+        spawn_link: impl Fn(&id::AgentId, &rows::Agent) -> JoinHandle<()>,
     ) {
-        let mut links = self.links.lock().expect("the links are whole");
+        let mut links = self.links.lock().expect("not poisoned");
         let mut gone = Vec::new();
         links.retain(|id, link| {
             let stays = members.get(id).is_some_and(|row| *row == link.row);
             if !stays {
-                link.tending.abort();
+                link.link_task.abort();
                 gone.push(id.clone());
             }
             stays
@@ -157,47 +161,43 @@
             if links.contains_key(id) {
                 continue;
             }
-            let tending = link(id, row);
-            links.insert(id.clone(), AgentLink::open(row.clone(), tending));
+            let link_task = spawn_link(id, row);
+            links.insert(id.clone(), AgentLink::open(row.clone(), link_task));
         }
         drop(links);
         let left: Vec<_> = gone
             .into_iter()
             .filter(|id| !members.contains_key(id))
             .collect();
-        self.with(|owner, now| {
+        self.apply_event(|owner, now| {
             for id in &left {
                 owner.give_up_agent(now, id);
             }
         });
     }
 
-    /// Stops owning: links close, and everybody who waits is sent to look for the new owner.
+    /// Stops the cell's tasks, closes its links and ends the waits, so that each submission
+    /// searches for the new owner.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
-        for task in self
-            .tasks
-            .lock()
-            .expect("the cell's tasks are whole")
-            .drain(..)
-        {
+        for task in self.tasks.lock().expect("not poisoned").drain(..) {
             task.abort();
         }
-        for (_, link) in self.links.lock().expect("the links are whole").drain() {
-            link.tending.abort();
+        for (_, link) in self.links.lock().expect("not poisoned").drain() {
+            link.link_task.abort();
         }
-        self.turn_away_if_stopped();
+        self.release_waiters_if_stopped();
     }
 
-    fn turn_away_if_stopped(&self) {
+    fn release_waiters_if_stopped(&self) {
         if !self.stopped.load(Ordering::SeqCst) {
             return;
         }
-        let waiters = std::mem::take(&mut *self.waiters.lock().expect("the waiters are whole"));
+        let waiters = std::mem::take(&mut *self.waiters.lock().expect("not poisoned"));
         for (_, waiter) in waiters {
             match waiter {
-                // Dropping the sender is the sign.
-                Waiter::Here(_) => {}
+                // The dropped sender makes the submission search for the owner again.
+                Waiter::Caller(_) => {}
                 Waiter::Peer(tx, seq) => {
                     let _ = tx.send(peer::Returned::NotOwner(seq));
                 }
@@ -205,17 +205,18 @@
         }
     }
 
-    fn enlist(&self, waiter: Waiter) -> action::WaiterId {
-        let number = self.next_waiter.fetch_add(1, Ordering::Relaxed);
+    fn add_waiter(&self, waiter: Waiter) -> action::WaiterId {
+        let waiter_id = self.next_waiter.fetch_add(1, Ordering::Relaxed);
         self.waiters
             .lock()
-            .expect("the waiters are whole")
-            .insert(number, waiter);
-        number
+            .expect("not poisoned")
+            .insert(waiter_id, waiter);
+        waiter_id
     }
 
-    /// Feeds an event to the owner and does what it asks, in order.
-    pub fn with(&self, event: impl FnOnce(&mut owner::Owner, time::Instant)) {
+    /// Applies an event to the owner and performs the actions that follow, in order, under its
+    /// lock.
+    pub fn apply_event(&self, event: impl FnOnce(&mut owner::Owner, time::Instant)) {
         let mut owner = self.lock();
         let now = time::Instant::now();
         event(&mut owner, now);
@@ -227,26 +228,26 @@
     fn perform(&self, now: time::Instant, action: Action) {
         match action {
             Action::Order(agent, Order::Start(mut start)) => {
-                self.spans.start(now, &mut start);
-                self.order(&agent, Order::Start(start));
+                self.spans.set_start_parent(now, &mut start);
+                self.send_order(&agent, Order::Start(start));
             }
-            Action::Order(agent, order) => self.order(&agent, order),
+            Action::Order(agent, order) => self.send_order(&agent, order),
             Action::Claim(claim) => {
                 let _ = self.claims.send(claim);
             }
-            Action::Reply(number, ending) => self.reply(number, ending),
+            Action::Reply(waiter_id, ending) => self.reply(waiter_id, ending),
             Action::Record(timing) => self.spans.record(timing),
         }
     }
 
-    fn reply(&self, number: action::WaiterId, ending: Arc<submission::Ending>) {
+    fn reply(&self, waiter_id: action::WaiterId, ending: Arc<submission::Ending>) {
         let waiter = self
             .waiters
             .lock()
-            .expect("the waiters are whole")
-            .remove(&number);
+            .expect("not poisoned")
+            .remove(&waiter_id);
         match waiter {
-            Some(Waiter::Here(tx)) => {
+            Some(Waiter::Caller(tx)) => {
                 let _ = tx.send(ending);
             }
             Some(Waiter::Peer(tx, seq)) => {
@@ -256,54 +257,55 @@
         }
     }
 
-    /// Sends an order. One to an agent without a link is dropped: its task counts as outstanding,
-    /// and the agent is asked about it once it is back.
-    fn order(&self, agent: &id::AgentId, order: Order) {
-        let mut links = self.links.lock().expect("the links are whole");
+    /// Sends an order, or delays an acknowledgement until the next order. An order to an agent
+    /// without a link is dropped: its task counts as outstanding, and the owner asks the agent
+    /// about it on the next link.
+    fn send_order(&self, agent: &id::AgentId, order: Order) {
+        let mut links = self.links.lock().expect("not poisoned");
         let Some(link) = links.get_mut(agent) else {
             return;
         };
         if matches!(order, Order::Acknowledge(_)) {
-            if link.lazy.is_empty() {
-                link.lazy_since = time::Instant::now();
+            if link.delayed_acks.is_empty() {
+                link.oldest_ack_at = time::Instant::now();
             }
-            link.lazy.push(order);
+            link.delayed_acks.push(order);
             return;
         }
         if let Some(tx) = &link.tx {
-            for lazy in link.lazy.drain(..) {
-                let _ = tx.send(lazy);
+            for ack in link.delayed_acks.drain(..) {
+                let _ = tx.send(ack);
             }
             let _ = tx.send(order);
         }
     }
 
-    /// Closes links that went silent, in either direction, and sends acknowledgements that found
-    /// nothing to ride with.
-    pub fn tend_links(&self) {
+    /// Closes links that went silent in either direction, and sends acknowledgements that have
+    /// waited longer than [`MAX_ACK_DELAY`].
+    pub fn check_links(&self) {
         let now = time::Instant::now();
-        let mut links = self.links.lock().expect("the links are whole");
+        let mut links = self.links.lock().expect("not poisoned");
         for link in links.values_mut() {
-            let silent = now.saturating_duration_since(link.heard) > agent::SILENCE;
+            let silent = now.saturating_duration_since(link.last_heard) > agent::SILENCE;
             if (silent || link.is_stuck(now)) && link.close() {
                 log::warn!(
                     "link to agent at {} went silent; it is replaced",
                     link.row.addr
                 );
             }
-            let overdue = now.saturating_duration_since(link.lazy_since) > MAX_LAZY;
+            let overdue = now.saturating_duration_since(link.oldest_ack_at) > MAX_ACK_DELAY;
             if let (Some(tx), true) = (&link.tx, overdue) {
-                for lazy in link.lazy.drain(..) {
-                    let _ = tx.send(lazy);
+                for ack in link.delayed_acks.drain(..) {
+                    let _ = tx.send(ack);
                 }
             }
         }
     }
 
-    /// Takes one message of an agent.
-    pub fn take(&self, id: &id::AgentId, tx: &LinkSender, up: agent::Up) {
-        if let Some(link) = self.links.lock().expect("the links are whole").get_mut(id) {
-            link.heard = time::Instant::now();
+    /// Handles one message of an agent that came on the link of `tx`.
+    pub fn handle_message(&self, id: &id::AgentId, tx: &LinkSender, up: agent::Up) {
+        if let Some(link) = self.links.lock().expect("not poisoned").get_mut(id) {
+            link.last_heard = time::Instant::now();
         }
         if up.link == tx.link {
             tx.delivery().confirm(up.received);
@@ -313,49 +315,51 @@
             match notice {
                 notice::Notice::Welcome(welcome) => {
                     tx.incarnation.store(welcome.incarnation, Ordering::SeqCst);
-                    self.use_link(id, tx);
+                    self.activate_link(id, tx);
                     let load = load.take().unwrap_or_default();
-                    self.with(|owner, now| owner.handle_welcome(now, id, welcome, load));
+                    self.apply_event(|owner, now| owner.handle_welcome(now, id, welcome, load));
+                }
+                notice::Notice::Stale(epoch) if epoch > self.scope.epoch => {
+                    (self.scope.ownership_lost)()
                 }
-                notice::Notice::Stale(epoch) if epoch > self.scope.epoch => (self.scope.deposed)(),
-                other => self.with(|owner, now| owner.handle_notice(now, id, other)),
+                other => self.apply_event(|owner, now| owner.handle_notice(now, id, other)),
             }
         }
-        self.with(|owner, now| match load {
+        self.apply_event(|owner, now| match load {
             Some(load) => owner.update_load(now, id, load),
             None => owner.dispatch(now),
         });
     }
 
-    /// Notes that an agent's link is gone.
+    /// Closes an agent's link and tells the owner that it was lost.
     pub fn link_lost(&self, id: &id::AgentId) {
-        if let Some(link) = self.links.lock().expect("the links are whole").get_mut(id) {
+        if let Some(link) = self.links.lock().expect("not poisoned").get_mut(id) {
             link.close();
         }
-        self.with(|owner, now| owner.agent_link_lost(now, id));
+        self.apply_event(|owner, now| owner.agent_link_lost(now, id));
     }
 
-    /// Notes a connection that is being made to an agent.
-    pub fn connecting(&self, id: &id::AgentId, sender: Arc<LinkSender>) {
-        if let Some(link) = self.links.lock().expect("the links are whole").get_mut(id) {
-            link.heard = time::Instant::now();
+    /// Notes a connection to an agent that is being made; the agent counts as heard now.
+    pub fn note_connecting(&self, id: &id::AgentId, sender: Arc<LinkSender>) {
+        if let Some(link) = self.links.lock().expect("not poisoned").get_mut(id) {
+            link.last_heard = time::Instant::now();
             link.sender = Some(sender);
         }
     }
 
-    /// What the cell was spawned with.
+    /// The values and callbacks that the entry spawned the cell with.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
 
-    fn use_link(&self, id: &id::AgentId, tx: &LinkSender) {
-        let mut links = self.links.lock().expect("the links are whole");
+    fn activate_link(&self, id: &id::AgentId, tx: &LinkSender) {
+        let mut links = self.links.lock().expect("not poisoned");
         if let Some(link) = links.get_mut(id) {
-            link.tx = tx.take();
+            link.tx = tx.take_tx();
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, owner::Owner> {
-        self.owner.lock().expect("the owner's state is whole")
+        self.owner.lock().expect("not poisoned")
     }
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share, and how a submission finds the owner of its cell.
+//! The state that an entry's modules share, and the search of a submission for its cell's owner.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, Weak};
@@ -24,50 +24,51 @@
 use crate::wire::platform;
 use crate::wire::rows;
 
-/// Pause before a submission looks for its cell's owner again.
-const LOOK_AGAIN: time::Duration = time::Duration::from_millis(100);
+/// Pause before a submission searches for its cell's owner again.
+const OWNER_RETRY_PAUSE: time::Duration = time::Duration::from_millis(100);
 
-/// How long a submission looks for an owner before it is refused, not run.
-const NO_OWNER_AFTER: time::Duration = time::Duration::from_secs(5);
+/// Longest that a submission or cancellation searches for an owner before it is refused.
+const MAX_OWNER_SEARCH: time::Duration = time::Duration::from_secs(5);
 
-/// How long a stopping entry waits for others to take its cells.
-const HAND_OVER: time::Duration = time::Duration::from_secs(2);
+/// Longest that a stopping entry waits for others to take its cells over.
+const MAX_HAND_OVER: time::Duration = time::Duration::from_secs(2);
 
-/// Who owns a cell, as this entry knows.
+/// The owner of a cell, as far as this entry knows.
 #[derive(Clone)]
-pub enum Place {
-    /// Nobody that it knows of.
-    Nowhere,
-    /// This entry.
-    Here(Arc<Cell>),
-    /// Another entry.
-    There(rows::Owner),
+pub enum CellOwner {
+    /// No owner is known.
+    Unknown,
+    /// This entry owns the cell and runs it.
+    Local(Arc<Cell>),
+    /// Another entry owns the cell, by the row given.
+    Remote(rows::Owner),
 }
 
-/// What the parts of an entry share.
+/// The state that an entry's HTTP side, links and cells share.
 pub struct Core {
-    /// The settings.
+    /// The settings that the entry was opened with.
     pub cfg: Config,
-    /// The configuration.
+    /// The configuration in force, and the loop that keeps it current.
     pub config: config::Config,
-    /// The counters.
+    /// The counters of messages sent, by kind.
     pub messages: count::Messages,
-    /// The platform.
+    /// The platform's table and object store.
     pub platform: platform::Platform,
-    /// The ownership of cells.
+    /// The controller that takes ownership of cells and watches the owners of the others.
     pub ownership: Arc<ownership::Ownership>,
     /// The links to the owners of other cells.
     pub peers: Peers,
-    places: Vec<Mutex<Place>>,
-    moved: Notify,
+    owners: Vec<Mutex<CellOwner>>,
+    owners_changed: Notify,
     draining: AtomicBool,
     in_flight: AtomicUsize,
-    flight_ended: Notify,
-    stop_asked: Notify,
+    submission_ended: Notify,
+    drain_requested: Notify,
 }
 
 impl Core {
-    /// Opens the shared part; `events` makes of the ownership's events what the entry does about them.
+    /// Opens the shared state; `events` makes the handlers for ownership events from a weak
+    /// reference to it.
     pub fn open(
         cfg: Config,
         peer_addr: CompactString,
@@ -84,19 +85,19 @@
             };
             let table = platform.table.clone();
             let events = events(core);
-            let nowhere = || Mutex::new(Place::Nowhere);
+            let unknown = || Mutex::new(CellOwner::Unknown);
             Core {
                 config: config::open(table.clone()),
                 ownership: ownership::open(table, candidate, cfg.cells, events),
                 peers: Peers::open(inward),
-                places: std::iter::repeat_with(nowhere)
+                owners: std::iter::repeat_with(unknown)
                     .take(cfg.cells.into())
                     .collect(),
-                moved: Notify::new(),
+                owners_changed: Notify::new(),
                 draining: AtomicBool::new(false),
                 in_flight: AtomicUsize::new(0),
-                flight_ended: Notify::new(),
-                stop_asked: Notify::new(),
+                submission_ended: Notify::new(),
+                drain_requested: Notify::new(),
                 cfg,
                 messages,
                 platform,
@@ -104,33 +105,35 @@
         })
     }
 
-    /// Who owns a cell.
-    pub fn place(&self, cell: id::Cell) -> Place {
-        self.places[usize::from(cell)]
+    /// The known owner of a cell.
+    pub fn cell_owner(&self, cell: id::Cell) -> CellOwner {
+        self.owners[usize::from(cell)]
             .lock()
-            .expect("the place is whole")
+            .expect("not poisoned")
             .clone()
     }
 
-    /// All places, by cell.
-    pub fn places(&self) -> Vec<Place> {
-        (0..self.cfg.cells).map(|cell| self.place(cell)).collect()
+    /// The known owners of all cells, by cell number.
+    pub fn cell_owners(&self) -> Vec<CellOwner> {
+        (0..self.cfg.cells)
+            .map(|cell| self.cell_owner(cell))
+            .collect()
     }
 
     /// Tells whether this entry owns a cell.
     pub fn owns_any(&self) -> bool {
-        self.places()
+        self.cell_owners()
             .iter()
-            .any(|place| matches!(place, Place::Here(_)))
+            .any(|owner| matches!(owner, CellOwner::Local(_)))
     }
 
-    /// Slots of usable agents in the cells that this entry owns.
+    /// The number of slots of usable agents in the cells that this entry owns.
     pub fn usable_slots(&self) -> u32 {
-        let slots = |place| match place {
-            Place::Here(cell) => cell.read(|owner| owner.fleet().slots()),
-            Place::There(_) | Place::Nowhere => 0,
+        let slots = |owner| match owner {
+            CellOwner::Local(cell) => cell.read(|owner| owner.fleet().slots()),
+            CellOwner::Remote(_) | CellOwner::Unknown => 0,
         };
-        self.places().into_iter().map(slots).sum()
+        self.cell_owners().into_iter().map(slots).sum()
     }
 
     /// Tells whether the entry is stopping.
@@ -140,153 +143,158 @@
 
     /// Tells whether submissions would be taken now.
     pub fn is_ready(&self) -> bool {
-        let placed = |place: &Place| !matches!(place, Place::Nowhere);
-        !self.is_draining() && self.config.get().is_some() && self.places().iter().any(placed)
+        let is_known = |owner: &CellOwner| !matches!(owner, CellOwner::Unknown);
+        !self.is_draining()
+            && self.config.get().is_some()
+            && self.cell_owners().iter().any(is_known)
     }
 
-    /// Asks whoever runs this entry to stop it.
-    pub fn ask_to_stop(&self) {
-        self.stop_asked.notify_one();
+    /// Asks the process that runs this entry to drain and stop it.
+    pub fn request_drain(&self) {
+        self.drain_requested.notify_one();
     }
 
-    /// Waits until a stop was asked for.
-    pub async fn stop_asked(&self) {
-        self.stop_asked.notified().await;
+    /// Waits until a drain was requested.
+    pub async fn drain_requested(&self) {
+        self.drain_requested.notified().await;
     }
 
-    /// Submissions whose callers wait here.
+    /// The number of submissions whose callers wait at this entry.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Brings a submission to its end, through whoever owns its cell.
-    pub async fn run(&self, submission: Arc<Submission>) -> Arc<submission::Ending> {
-        let _flight = Flight::begin(self);
+    /// Submits to the owner of the submission's cell, again after each loss of the owner, and
+    /// returns the ending.
+    pub async fn run_submission(&self, submission: Arc<Submission>) -> Arc<submission::Ending> {
+        let _in_flight = InFlight::begin(self);
         let cell = key::cell(&submission.key, self.cfg.cells);
-        let mut lost_since = None;
+        let mut searching_since = None;
         let mut handed_over = false;
         loop {
             let tried_at = time::Instant::now();
-            let ending = match self.place(cell) {
-                Place::Here(owner) => {
+            let ending = match self.cell_owner(cell) {
+                CellOwner::Local(owner) => {
                     handed_over = true;
                     let (tx, rx) = oneshot::channel();
-                    owner.submit(submission.clone(), Waiter::Here(tx));
+                    owner.submit(submission.clone(), Waiter::Caller(tx));
                     rx.await.ok()
                 }
-                Place::There(owner) => {
+                CellOwner::Remote(owner) => {
                     let (sent, ending) = self.peers.submit(&owner.addr, submission.clone()).await;
                     handed_over |= sent;
                     ending
                 }
-                Place::Nowhere => None,
+                CellOwner::Unknown => None,
             };
             if let Some(ending) = ending {
                 return ending;
             }
-            // A job that an owner had for a while before it died has all its patience still.
+            // After a job was with an owner for a while, the search for the next owner gets the
+            // full time again.
             let now = time::Instant::now();
-            if tried_at.elapsed() > LOOK_AGAIN {
-                lost_since = Some(now);
+            if tried_at.elapsed() > OWNER_RETRY_PAUSE {
+                searching_since = Some(now);
             }
-            if lost_since.get_or_insert(now).elapsed() >= self.patience(&submission) {
-                return Arc::new(submission::Ending::Failed(lost(handed_over)));
+            if searching_since.get_or_insert(now).elapsed() >= self.max_owner_search(&submission) {
+                return Arc::new(submission::Ending::Failed(no_owner_refusal(handed_over)));
             }
             self.ownership.check_now();
-            let _ = tokio::time::timeout(LOOK_AGAIN, self.moved.notified()).await;
+            let _ = tokio::time::timeout(OWNER_RETRY_PAUSE, self.owners_changed.notified()).await;
         }
     }
 
-    /// Withdraws a job, through whoever owns its cell.
+    /// Withdraws a job at the owner of its cell.
     ///
-    /// Doing so twice does no harm, so a cancellation that was lost with its owner is made again.
-    pub async fn cancel(&self, key: id::JobKey) -> Arc<submission::Ending> {
+    /// A cancellation is idempotent, so one that was lost with its owner is sent again.
+    pub async fn cancel_job(&self, key: id::JobKey) -> Arc<submission::Ending> {
         let cell = key::cell(&key, self.cfg.cells);
         let begun = time::Instant::now();
-        while begun.elapsed() < NO_OWNER_AFTER {
-            let ending = match self.place(cell) {
-                Place::Here(owner) => {
+        while begun.elapsed() < MAX_OWNER_SEARCH {
+            let ending = match self.cell_owner(cell) {
+                CellOwner::Local(owner) => {
                     let (tx, rx) = oneshot::channel();
-                    owner.cancel(&key, Waiter::Here(tx));
+                    owner.cancel(&key, Waiter::Caller(tx));
                     rx.await.ok()
                 }
-                Place::There(owner) => self.peers.cancel(&owner.addr, key.clone()).await.1,
-                Place::Nowhere => None,
+                CellOwner::Remote(owner) => self.peers.cancel(&owner.addr, key.clone()).await.1,
+                CellOwner::Unknown => None,
             };
             if let Some(ending) = ending {
                 return ending;
             }
             self.ownership.check_now();
-            let _ = tokio::time::timeout(LOOK_AGAIN, self.moved.notified()).await;
+            let _ = tokio::time::timeout(OWNER_RETRY_PAUSE, self.owners_changed.notified()).await;
         }
-        // Whoever owns the job may have run it.
-        let unknown = Refusal::new(code::Code::JobUnknown).retry_after(LOOK_AGAIN);
+        // An owner that can't be reached may have run the job.
+        let unknown = Refusal::new(code::Code::JobUnknown).retry_after(OWNER_RETRY_PAUSE);
         Arc::new(submission::Ending::Failed(unknown))
     }
 
-    /// How long a submission looks for an owner: within its target.
-    fn patience(&self, submission: &Submission) -> time::Duration {
+    /// Longest search for an owner: [`MAX_OWNER_SEARCH`], or the target of the submission's class
+    /// if that is shorter.
+    fn max_owner_search(&self, submission: &Submission) -> time::Duration {
         let config = self.config.get();
         let class = config
             .as_ref()
             .and_then(|c| c.document.class(&submission.job.class));
-        class.map_or(NO_OWNER_AFTER, |class| class.target().min(NO_OWNER_AFTER))
+        class.map_or(MAX_OWNER_SEARCH, |class| {
+            class.target().min(MAX_OWNER_SEARCH)
+        })
     }
 
-    /// Takes up a cell that this entry has won.
-    pub fn won(self: &Arc<Self>, won: ownership::OwnedCell) {
-        let (cell, epoch) = (won.cell, won.epoch);
+    /// Starts to run a cell that this entry has become the owner of.
+    pub fn take_over_cell(self: &Arc<Self>, owned: ownership::OwnedCell) {
+        let (cell, epoch) = (owned.cell, owned.epoch);
         let Some(config) = self.config.get() else {
-            // Without a configuration nothing may be served. Forgetting the ownership makes the
-            // look after the first configuration report it again.
+            // Without a configuration no cell may be served. Since the ownership is forgotten, the
+            // check after the first configuration reports it again.
             self.ownership.forget_cell(cell);
             return;
         };
         log::info!("this entry owns cell {cell} at epoch {epoch}");
         let ownership = Arc::downgrade(&self.ownership);
-        let proving = ownership.clone();
+        let proof_ownership = ownership.clone();
         let owner = owning::spawn(scope::Scope {
             cell,
             epoch,
-            revision: won.revision,
-            begun: won.begun,
-            doubt: won.unclaimed_starts_until,
+            revision: owned.revision,
+            proof_begun: owned.begun,
+            unclaimed_starts_until: owned.unclaimed_starts_until,
             entry: self.cfg.id.clone(),
             table: self.platform.table.clone(),
             messages: self.messages.clone(),
             policy: self.cfg.policy,
             config,
-            deposed: Box::new(move || {
+            ownership_lost: Box::new(move || {
                 if let Some(ownership) = ownership.upgrade() {
                     ownership.cell_lost(cell);
                 }
             }),
-            proved: Box::new(move |begun| {
-                if let Some(ownership) = proving.upgrade() {
+            ownership_proved: Box::new(move |begun| {
+                if let Some(ownership) = proof_ownership.upgrade() {
                     ownership.note_proof(cell, begun);
                 }
             }),
         });
-        self.put(cell, Place::Here(owner));
+        self.set_cell_owner(cell, CellOwner::Local(owner));
     }
 
-    fn put(&self, cell: id::Cell, place: Place) {
-        let mut slot = self.places[usize::from(cell)]
-            .lock()
-            .expect("the place is whole");
-        let before = std::mem::replace(&mut *slot, place);
-        drop(slot);
-        if let Place::Here(owner) = before {
+    fn set_cell_owner(&self, cell: id::Cell, owner: CellOwner) {
+        let mut current = self.owners[usize::from(cell)].lock().expect("not poisoned");
+        let before = std::mem::replace(&mut *current, owner);
+        drop(current);
+        if let CellOwner::Local(owner) = before {
             owner.stop();
         }
-        self.moved.notify_waiters();
+        self.owners_changed.notify_waiters();
     }
 
     /// Notes that another entry owns a cell.
-    pub fn other(&self, cell: id::Cell, owner: &rows::Owner) {
-        let same = match self.place(cell) {
-            Place::There(known) => known == *owner,
-            Place::Here(_) | Place::Nowhere => false,
+    pub fn note_remote_owner(&self, cell: id::Cell, owner: &rows::Owner) {
+        let same = match self.cell_owner(cell) {
+            CellOwner::Remote(known) => known == *owner,
+            CellOwner::Local(_) | CellOwner::Unknown => false,
         };
         if !same {
             log::info!(
@@ -294,26 +302,27 @@
                 owner.entry,
                 owner.epoch
             );
-            self.put(cell, Place::There(owner.clone()));
+            self.set_cell_owner(cell, CellOwner::Remote(owner.clone()));
         }
     }
 
-    /// Stops gracefully: hands the cells over if another entry takes them, and answers everybody.
+    /// Stops gracefully: hands the cells over if another entry takes them, and answers all callers.
     pub async fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
         self.ownership.resign().await;
-        let deadline = tokio::time::Instant::now() + HAND_OVER;
+        let deadline = tokio::time::Instant::now() + MAX_HAND_OVER;
         while self.owns_any() && tokio::time::Instant::now() < deadline {
             self.ownership.check_now();
-            let _ = tokio::time::timeout(LOOK_AGAIN, self.moved.notified()).await;
+            let _ = tokio::time::timeout(OWNER_RETRY_PAUSE, self.owners_changed.notified()).await;
         }
         if self.owns_any() {
-            // No other entry is there; what is in flight is brought to its end here.
+            // No other entry took the cells, so the submissions in flight end here.
             self.ownership.resume_taking();
         }
         let idle = async {
             while self.in_flight() > 0 {
-                let _ = tokio::time::timeout(LOOK_AGAIN, self.flight_ended.notified()).await;
+                let _ =
+                    tokio::time::timeout(OWNER_RETRY_PAUSE, self.submission_ended.notified()).await;
             }
         };
         if tokio::time::timeout(self.cfg.drain, idle).await.is_err() {
@@ -322,41 +331,42 @@
                 self.in_flight()
             );
         }
-        // Answers that were just given are still on their way through the sockets.
-        tokio::time::sleep(LOOK_AGAIN).await;
+        // The last answers may not have passed through the sockets yet.
+        tokio::time::sleep(OWNER_RETRY_PAUSE).await;
     }
 
-    /// Ends at once.
+    /// Stops all cells and closes the links to owners at once.
     pub fn close(&self) {
         for cell in 0..self.cfg.cells {
-            self.put(cell, Place::Nowhere);
+            self.set_cell_owner(cell, CellOwner::Unknown);
         }
         self.peers.close();
     }
 }
 
-/// What is said to a caller once no owner was found in time.
-fn lost(handed_over: bool) -> Refusal {
+/// The refusal of a submission for which no owner was found in time; it says that nothing was run
+/// unless the submission was handed to an owner that was lost.
+fn no_owner_refusal(handed_over: bool) -> Refusal {
     if handed_over {
         Refusal::new(code::Code::ForwardLost)
     } else {
-        Refusal::new(code::Code::NoOwner).retry_after(LOOK_AGAIN)
+        Refusal::new(code::Code::NoOwner).retry_after(OWNER_RETRY_PAUSE)
     }
 }
 
-/// Counts a submission as in flight for as long as its caller waits.
-struct Flight<'a>(&'a Core);
+/// Counts a submission as in flight until it is dropped.
+struct InFlight<'a>(&'a Core);
 
-impl<'a> Flight<'a> {
-    fn begin(core: &'a Core) -> Flight<'a> {
+impl<'a> InFlight<'a> {
+    fn begin(core: &'a Core) -> InFlight<'a> {
         core.in_flight.fetch_add(1, Ordering::SeqCst);
-        Flight(core)
+        InFlight(core)
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
-        self.0.flight_ended.notify_waiters();
+        self.0.submission_ended.notify_waiters();
     }
 }
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -1,4 +1,5 @@
-//! What an entry makes of the events of its controllers and of what it hears of the watched rows.
+//! How an entry handles the events of its controllers, and news of the watched rows from other
+//! entries.
 
 use std::sync::{Arc, Weak};
 use std::time;
@@ -6,7 +7,7 @@
 use crate::class;
 use crate::controller::config;
 use crate::controller::ownership;
-use crate::entry::core::{Core, Place};
+use crate::entry::core::{CellOwner, Core};
 use crate::id;
 use crate::wire::peer;
 use crate::wire::platform;
@@ -14,26 +15,26 @@
 
 impl Core {
     fn configure(&self, config: &Arc<class::Versioned>) {
-        for place in self.places() {
-            if let Place::Here(cell) = place {
+        for owner in self.cell_owners() {
+            if let CellOwner::Local(cell) = owner {
                 cell.configure(config.clone());
             }
         }
         if config.version == 1 || !self.owns_any() {
-            // Cells that were won before there was a configuration are taken up now.
+            // Cells that this entry came to own before the first configuration start to run now.
             self.ownership.check_now();
         }
         self.peers.announce_config();
     }
 
-    /// Takes what another entry knows of the watched rows.
-    pub fn hear_head(&self, head: &peer::Head) {
+    /// Notes the digest of the watched rows that another entry sent, with its age.
+    pub fn note_peer_head(&self, head: &peer::Head) {
         let age = time::Duration::from_millis(head.age_ms);
         self.ownership.note_digest(head.digest, age);
     }
 
-    /// What other entries may be told of the watched rows.
-    pub fn tell_head(&self) -> Option<peer::Head> {
+    /// The newest digest of the watched rows, to be sent to other entries.
+    pub fn head_for_peers(&self) -> Option<peer::Head> {
         let (digest, age) = self.ownership.newest_digest()?;
         Some(peer::Head {
             digest,
@@ -41,7 +42,7 @@
         })
     }
 
-    /// Takes the watched rows after a change.
+    /// Passes a change of the watched rows to the configuration, to the cells and to other entries.
     fn head_changed(&self, found: &[platform::Row]) {
         for row in found {
             if row.key == rows::CONFIG_VERSION {
@@ -49,50 +50,50 @@
                 self.config.note_version(head.unwrap_or_default().version);
             }
         }
-        for (cell, place) in self.places().into_iter().enumerate() {
+        for (cell, owner) in self.cell_owners().into_iter().enumerate() {
             let key = rows::members(cell as id::Cell);
             let row = found.iter().find(|row| row.key == key);
-            if let (Place::Here(owner), Some(row)) = (place, row) {
-                owner.members_row(row.revision);
+            if let (CellOwner::Local(local), Some(row)) = (owner, row) {
+                local.note_members_revision(row.revision);
             }
         }
         self.peers.announce_head();
     }
 }
 
-/// What the entry does about the ownership's events.
-pub fn ownership(core: &Weak<Core>) -> ownership::Events {
-    let (won, other, seen) = (core.clone(), core.clone(), core.clone());
-    let head = core.clone();
+/// Makes the handlers for the events of the ownership controller.
+pub fn ownership_events(core: &Weak<Core>) -> ownership::Events {
+    let (owned, owned_by_other, proved) = (core.clone(), core.clone(), core.clone());
+    let head_changed = core.clone();
     ownership::Events {
         owned: Box::new(move |cell| {
-            if let Some(core) = won.upgrade() {
-                core.won(cell);
+            if let Some(core) = owned.upgrade() {
+                core.take_over_cell(cell);
             }
         }),
         owned_by_other: Box::new(move |cell, owner| {
-            if let Some(core) = other.upgrade() {
-                core.other(cell, owner);
+            if let Some(core) = owned_by_other.upgrade() {
+                core.note_remote_owner(cell, owner);
             }
         }),
         proved: Box::new(move |cell, begun| {
-            let Some(core) = seen.upgrade() else {
+            let Some(core) = proved.upgrade() else {
                 return;
             };
-            if let Place::Here(owner) = core.place(cell) {
-                owner.table_seen(begun);
+            if let CellOwner::Local(owner) = core.cell_owner(cell) {
+                owner.note_ownership_proof(begun);
             }
         }),
         head_changed: Box::new(move |found| {
-            if let Some(core) = head.upgrade() {
+            if let Some(core) = head_changed.upgrade() {
                 core.head_changed(found);
             }
         }),
     }
 }
 
-/// What the entry does about the configuration's events.
-pub fn config(core: &Arc<Core>) -> config::Events {
+/// Makes the handlers for the events of the configuration controller.
+pub fn config_events(core: &Arc<Core>) -> config::Events {
     let (changed, behind) = (Arc::downgrade(core), Arc::downgrade(core));
     config::Events {
         changed: Box::new(move |config| {
@@ -102,7 +103,7 @@
         }),
         behind: Box::new(move |version| {
             if let Some(core) = behind.upgrade() {
-                core.peers.want_config(version);
+                core.peers.request_config(version);
             }
         }),
     }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of an entry: callers' paths, operators' paths, and one form for every refusal.
+//! The HTTP side of an entry: the paths of callers and operators; all refusals have the same form.
 
 use std::net;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::wire::caller;
 use crate::wire::server::{self, Incoming, Reply};
 
-/// Binds the server.
+/// Binds the HTTP server for callers and operators.
 pub async fn bind(addr: net::SocketAddr, core: Arc<Core>) -> anyhow::Result<server::Server> {
     let handler = move |incoming: Incoming| {
         let core = core.clone();
@@ -70,13 +70,13 @@
     let hop = Hop::first(incoming.header(trace::TRACEPARENT));
     let record = |key: Option<&id::JobKey>, failure: Option<Code>| {
         if let Some(hop) = hop {
-            spans::submission(hop, begun, &core.cfg.id, key, failure);
+            spans::record_submission(hop, begun, &core.cfg.id, key, failure);
         }
     };
-    match take(core, kind, hop, incoming).await {
+    match receive(core, kind, hop, incoming).await {
         Ok((submission, inputs)) => {
-            let ending = core.run(submission.clone()).await;
-            offload::forget(&core.platform.objects, inputs, &ending);
+            let ending = core.run_submission(submission.clone()).await;
+            offload::remove_inputs(&core.platform.objects, inputs, &ending);
             record(Some(&submission.key), ending.failure());
             reply(core, &submission.key, &ending).await
         }
@@ -87,9 +87,9 @@
     }
 }
 
-/// Takes a submission through the filter chain. Returns it with the names of inputs that were
-/// stored for it.
-async fn take(
+/// Reads a submission, runs it through the filter chain and stores its large inputs. Returns it
+/// with the names of the stored inputs.
+async fn receive(
     core: &Core,
     kind: filter::Kind,
     hop: Option<Hop>,
@@ -98,12 +98,13 @@
     let key = incoming
         .header(caller::IDEMPOTENCY_KEY)
         .map(CompactString::from);
-    // A header that is far longer than any trace context would be copied into every start.
-    let sent = incoming.header(trace::TRACEPARENT);
-    let sent = sent.filter(|text| text.len() <= trace::MAX_TRACEPARENT);
+    // A header that is far longer than any trace context would be copied into every start, so it is
+    // dropped.
+    let header = incoming.header(trace::TRACEPARENT);
+    let header = header.filter(|text| text.len() <= trace::MAX_TRACEPARENT);
     let traceparent = match hop {
         Some(hop) => Some(hop.traceparent()),
-        None => sent.map(CompactString::from),
+        None => header.map(CompactString::from),
     };
     let cx = filter::Context {
         config: core.config.get(),
@@ -118,18 +119,18 @@
         idempotent: false,
     };
     let draft = filter::pass(&cx, draft)?;
-    let accepted = accept(draft);
-    let mut submission = accepted.ok_or_else(|| Refusal::new(Code::BadJson))?;
-    let inputs = offload::inputs(&core.platform.objects, &mut submission).await?;
+    let submission = to_submission(draft);
+    let mut submission = submission.ok_or_else(|| Refusal::new(Code::BadJson))?;
+    let inputs = offload::store_inputs(&core.platform.objects, &mut submission).await?;
     Ok((Arc::new(submission), inputs))
 }
 
-/// Makes the submission of a draft that has passed the chain.
-fn accept(draft: filter::Draft) -> Option<Submission> {
+/// Turns a draft that has passed the filter chain into a submission; `None` if it has no job.
+fn to_submission(draft: filter::Draft) -> Option<Submission> {
     let job = draft.job?;
     let key = match draft.key {
         Some(key) => key,
-        // Nobody can resubmit a request whose key is only known here.
+        // No caller knows this key, so a request without a key can't be resubmitted.
         None => key::mint(clock::since_epoch(), rand::random()).into(),
     };
     Some(Submission {
@@ -142,10 +143,11 @@
     })
 }
 
-/// The time that a key tells, if it agrees with this process's clock.
+/// The time at which a key was minted, in milliseconds since the Unix epoch, unless the key holds
+/// no time or one that is ahead of this process's clock by more than [`inherit::CLOCK_SKEW`].
 ///
-/// A key from the future would pass for a fresh one after a takeover that came between its first
-/// and its second submission, so it counts as one that tells nothing.
+/// If a takeover comes between the first and the second submission of a key from the future, the
+/// key would count as new at the second, so its time is ignored.
 fn minted_ms(key: &str) -> Option<u64> {
     let minted = key::minted_at(key)?;
     let latest = clock::since_epoch() + inherit::CLOCK_SKEW;
@@ -163,9 +165,9 @@
         return Reply::refusal(&Refusal::detailed(Code::KeyMissing, detail));
     };
     let key = key::scoped(account, key);
-    let ending = core.cancel(key.clone()).await;
+    let ending = core.cancel_job(key.clone()).await;
     match &*ending {
-        // The caller got what it asked for.
+        // The job was cancelled, as the caller asked.
         Ending::Failed(refusal) if refusal.code == Code::Cancelled => {
             Reply::json(StatusCode::OK, refusal)
         }
@@ -173,11 +175,11 @@
     }
 }
 
-/// The reply that an ending is to its caller.
+/// Makes the reply to the caller from a job's ending.
 async fn reply(core: &Core, key: &str, ending: &Ending) -> Reply {
     match ending {
         Ending::Complete(answers) => {
-            let answers = match offload::answers(&core.platform.objects, answers).await {
+            let answers = match offload::load_answers(&core.platform.objects, answers).await {
                 Ok(answers) => answers,
                 Err(refusal) => return Reply::refusal(&refusal),
             };
--- a/src/entry/inward.rs
+++ b/src/entry/inward.rs
@@ -1,25 +1,26 @@
-//! The way in for other entries: what they pass on, and what goes back to them.
+//! Serves the links that other entries open to this one: handles the submissions that they pass on
+//! and sends the endings back.
 
 use std::sync::{Arc, OnceLock, Weak};
 
 use crate::count;
 use crate::entry::cell::Waiter;
-use crate::entry::core::{Core, Place};
-use crate::entry::inward_links::{Inward, InwardLinks};
+use crate::entry::core::{CellOwner, Core};
+use crate::entry::inward_links::{InwardLink, InwardLinks};
 use crate::id;
 use crate::key;
 use crate::wire::link;
 use crate::wire::peer::{self, Passed, Returned};
 
-/// The core that answers other entries; clones share it. The listener can be bound before the core
-/// is there.
+/// The core that answers other entries, once it is set; clones share it. It lets the listener be
+/// bound before the core is opened.
 #[derive(Clone, Default)]
 pub struct CoreRef(Arc<OnceLock<Weak<Core>>>);
 
 impl CoreRef {
-    /// Puts the core behind the listener.
-    pub fn put(&self, core: &Arc<Core>) {
-        // It is put once, when the entry opens.
+    /// Sets the core that handles the listener's messages.
+    pub fn set(&self, core: &Arc<Core>) {
+        // It is set only once, when the entry opens.
         let _ = self.0.set(Arc::downgrade(core));
     }
 
@@ -28,21 +29,21 @@
     }
 }
 
-/// The service behind an entry's listener for other entries.
+/// Makes the service for an entry's listener for other entries.
 pub fn service(
     links: &InwardLinks,
     core_ref: &CoreRef,
     entry: id::EntryId,
     messages: count::Messages,
 ) -> link::Service<peer::Hello, Returned, peer::Down, peer::Up> {
-    let (greeting, taking) = (links.clone(), links.clone());
-    let (greeter, taker) = (core_ref.clone(), core_ref.clone());
+    let (greet_links, take_links) = (links.clone(), links.clone());
+    let (greet_core, take_core) = (core_ref.clone(), core_ref.clone());
     link::Service {
-        greet: Arc::new(move |hello, tx| greet(&greeting, &greeter, &entry, hello, tx)),
+        greet: Arc::new(move |hello, tx| greet(&greet_links, &greet_core, &entry, hello, tx)),
         take: Arc::new(move |down: peer::Down| {
-            let inward = taking.received(&down.entry, down.link);
-            if let (Some(core), Some(inward)) = (taker.core(), inward) {
-                take(&core, &inward, down);
+            let inward = take_links.count_received(&down.entry, down.link);
+            if let (Some(core), Some(inward)) = (take_core.core(), inward) {
+                handle_message(&core, &inward, down);
             }
         }),
         sent: Arc::new(move |up, bytes| messages.sent(peer::kind_up(&up.items), bytes)),
@@ -58,57 +59,57 @@
     tx: link::Sender<Returned>,
 ) -> link::Group<Returned, peer::Up> {
     let link = hello.link;
-    let inward = Inward::open(link, tx);
-    // The entry learns at once what this one knows of the watched rows.
+    let inward = InwardLink::open(link, tx);
+    // The heartbeat tells the other entry at once what this one knows of the watched rows.
     let _ = inward.tx.send(Returned::Heartbeat);
-    links.admit(hello.entry, inward.clone());
+    links.replace(hello.entry, inward.clone());
     let (core_ref, entry) = (core_ref.clone(), entry.clone());
     Arc::new(move |items: Vec<Returned>| {
-        let received = inward.spoke();
+        let received = inward.record_sent();
         let core = core_ref.core();
         peer::Up {
             entry: entry.clone(),
             link,
             received,
             config: core.as_ref().map_or(0, |core| core.config.version()),
-            head: core.and_then(|core| core.tell_head()),
+            head: core.and_then(|core| core.head_for_peers()),
             items,
         }
     })
 }
 
-fn take(core: &Arc<Core>, inward: &Inward, down: peer::Down) {
+fn handle_message(core: &Arc<Core>, inward: &InwardLink, down: peer::Down) {
     core.config.note_version(down.config);
     core.peers.note_version(&down.entry, down.config);
     for item in down.items {
         match item {
             Passed::Submit(seq, submission) => {
                 let waiter = Waiter::Peer(inward.tx.clone(), seq);
-                match core.place(key::cell(&submission.key, core.cfg.cells)) {
-                    Place::Here(owner) => owner.submit(Arc::new(*submission), waiter),
-                    Place::There(_) | Place::Nowhere => turn_away(inward, seq),
+                match core.cell_owner(key::cell(&submission.key, core.cfg.cells)) {
+                    CellOwner::Local(cell) => cell.submit(Arc::new(*submission), waiter),
+                    CellOwner::Remote(_) | CellOwner::Unknown => send_not_owner(inward, seq),
                 }
             }
             Passed::Cancel(seq, key) => {
                 let waiter = Waiter::Peer(inward.tx.clone(), seq);
-                match core.place(key::cell(&key, core.cfg.cells)) {
-                    Place::Here(owner) => owner.cancel(&key, waiter),
-                    Place::There(_) | Place::Nowhere => turn_away(inward, seq),
+                match core.cell_owner(key::cell(&key, core.cfg.cells)) {
+                    CellOwner::Local(cell) => cell.cancel(&key, waiter),
+                    CellOwner::Remote(_) | CellOwner::Unknown => send_not_owner(inward, seq),
                 }
             }
-            Passed::WantConfig(version) => give_config(core, inward, version),
+            Passed::WantConfig(version) => send_newer_config(core, inward, version),
             Passed::Config(config) => core.config.accept_document(*config),
             Passed::Heartbeat => {}
         }
     }
 }
 
-fn turn_away(inward: &Inward, seq: u64) {
+fn send_not_owner(inward: &InwardLink, seq: u64) {
     let _ = inward.tx.send(Returned::NotOwner(seq));
 }
 
-fn give_config(core: &Core, inward: &Inward, than: id::Version) {
-    let newer = core.config.get().filter(|config| config.version > than);
+fn send_newer_config(core: &Core, inward: &InwardLink, known: id::Version) {
+    let newer = core.config.get().filter(|config| config.version > known);
     if let Some(config) = newer {
         let config = Box::new((*config).clone());
         let _ = inward.tx.send(Returned::Config(config));
--- a/src/entry/inward_links.rs
+++ b/src/entry/inward_links.rs
@@ -1,4 +1,4 @@
-//! The links that other entries hold to this one.
+//! The links that other entries have opened to this one, and the heartbeats on them.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,61 +9,62 @@
 use crate::wire::link;
 use crate::wire::peer::{Returned, HEARTBEAT};
 
-/// The links of other entries; clones share them.
+/// The newest link of each other entry; clones share them.
 #[derive(Clone, Default)]
 pub struct InwardLinks {
-    links: Arc<Mutex<HashMap<id::EntryId, Inward>>>,
+    links: Arc<Mutex<HashMap<id::EntryId, InwardLink>>>,
 }
 
-/// The link of one other entry.
+/// A link that another entry has opened; clones share its state.
 #[derive(Clone)]
-pub struct Inward {
+pub struct InwardLink {
     link: id::Link,
-    /// What goes back to the entry.
+    /// Sends items back to the entry.
     pub tx: link::Sender<Returned>,
     received: Arc<AtomicU64>,
-    spoke: Arc<Mutex<time::Instant>>,
+    last_sent: Arc<Mutex<time::Instant>>,
 }
 
-impl Inward {
-    /// Opens a link that has just been made.
-    pub fn open(link: id::Link, tx: link::Sender<Returned>) -> Inward {
-        Inward {
+impl InwardLink {
+    /// Opens the state of a link that was just connected.
+    pub fn open(link: id::Link, tx: link::Sender<Returned>) -> InwardLink {
+        InwardLink {
             link,
             tx,
             received: Arc::default(),
-            spoke: Arc::new(Mutex::new(time::Instant::now())),
+            last_sent: Arc::new(Mutex::new(time::Instant::now())),
         }
     }
 
-    /// Notes that something leaves on it; returns how many messages have come.
-    pub fn spoke(&self) -> u64 {
-        *self.spoke.lock().expect("the time is whole") = time::Instant::now();
+    /// Notes that a message is being sent now; returns how many messages were received.
+    pub fn record_sent(&self) -> u64 {
+        *self.last_sent.lock().expect("not poisoned") = time::Instant::now();
         self.received.load(Ordering::SeqCst)
     }
 }
 
 impl InwardLinks {
-    /// Tells all entries that are linked here.
-    pub fn tell(&self, item: impl Fn() -> Returned) {
+    /// Sends an item to all entries that are linked to this one.
+    pub fn send_to_all(&self, item: impl Fn() -> Returned) {
         for inward in self.links().values() {
             let _ = inward.tx.send(item());
         }
     }
 
-    /// Puts an entry's link in the place of its last one, and keeps it from going silent.
-    pub fn admit(&self, entry: id::EntryId, inward: Inward) {
+    /// Replaces an entry's link by a new one, and spawns the heartbeats on it.
+    pub fn replace(&self, entry: id::EntryId, inward: InwardLink) {
         let link = inward.link;
         self.links().insert(entry.clone(), inward);
-        tokio::spawn(heartbeat(self.clone(), entry, link));
+        tokio::spawn(send_heartbeats(self.clone(), entry, link));
     }
 
-    fn links(&self) -> MutexGuard<'_, HashMap<id::EntryId, Inward>> {
-        self.links.lock().expect("the links are whole")
+    fn links(&self) -> MutexGuard<'_, HashMap<id::EntryId, InwardLink>> {
+        self.links.lock().expect("not poisoned")
     }
 
-    /// The link that a message came on, unless another has replaced it.
-    pub fn received(&self, entry: &id::EntryId, link: id::Link) -> Option<Inward> {
+    /// Counts a received message and returns the link that it came on, unless another link has
+    /// replaced that one.
+    pub fn count_received(&self, entry: &id::EntryId, link: id::Link) -> Option<InwardLink> {
         let inward = self.links().get(entry).cloned()?;
         if inward.link != link {
             return None;
@@ -75,11 +76,11 @@
     /// Time until a heartbeat is due on a link, unless another has replaced it.
     fn heartbeat_due_in(&self, entry: &id::EntryId, link: id::Link) -> Option<time::Duration> {
         let inward = self.links().get(entry).cloned()?;
-        let spoke = *inward.spoke.lock().expect("the time is whole");
-        (inward.link == link).then(|| HEARTBEAT.saturating_sub(spoke.elapsed()))
+        let last_sent = *inward.last_sent.lock().expect("not poisoned");
+        (inward.link == link).then(|| HEARTBEAT.saturating_sub(last_sent.elapsed()))
     }
 
-    fn forget(&self, entry: &id::EntryId, link: id::Link) {
+    fn remove(&self, entry: &id::EntryId, link: id::Link) {
         let mut links = self.links();
         if links.get(entry).is_some_and(|inward| inward.link == link) {
             links.remove(entry);
@@ -87,20 +88,22 @@
     }
 }
 
-/// Says something on a link where nothing else was said for a while.
-async fn heartbeat(links: InwardLinks, entry: id::EntryId, link: id::Link) {
-    while let Some(left) = links.heartbeat_due_in(&entry, link) {
-        if !left.is_zero() {
-            tokio::time::sleep(left).await;
+/// Sends a heartbeat whenever nothing else was sent on a link for [`HEARTBEAT`], until it is closed
+/// or replaced.
+async fn send_heartbeats(links: InwardLinks, entry: id::EntryId, link: id::Link) {
+    while let Some(remaining) = links.heartbeat_due_in(&entry, link) {
+        if !remaining.is_zero() {
+            tokio::time::sleep(remaining).await;
             continue;
         }
         let inward = links.links().get(&entry).cloned();
         let sent = inward.is_some_and(|inward| inward.tx.send(Returned::Heartbeat).is_ok());
         if !sent {
-            links.forget(&entry, link);
+            links.remove(&entry, link);
             return;
         }
-        // The message leaves as soon as the writer is free; until then none other is due.
+        // The heartbeat counts as sent only when the writer gets to it; none other is due until
+        // then.
         tokio::time::sleep(HEARTBEAT / 4).await;
     }
 }
--- a/src/entry/linking.rs
+++ b/src/entry/linking.rs
@@ -1,4 +1,4 @@
-//! Connects an owner to an agent, and again after each loss.
+//! Connects an owner to an agent, and reconnects after each loss.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Weak};
@@ -17,12 +17,13 @@
 use crate::wire::link;
 use crate::wire::rows;
 
-/// Pauses between attempts to connect, growing from the first to the second.
+/// Pauses between attempts to connect grow from this one up to [`MAX_PAUSE`].
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(20);
 const MAX_PAUSE: time::Duration = time::Duration::from_millis(500);
 
-/// Keeps one agent linked, for as long as its row stands.
-pub async fn tend(cell: Weak<Cell>, id: id::AgentId, row: rows::Agent) {
+/// Maintains the link to one agent until the cell is gone; the cell aborts it when the agent's row
+/// changes or is removed.
+pub async fn maintain_link(cell: Weak<Cell>, id: id::AgentId, row: rows::Agent) {
     let mut backoff = backoff::open(MIN_PAUSE, MAX_PAUSE);
     loop {
         let closed = Arc::new(Notify::new());
@@ -58,8 +59,8 @@
         link: sender.link,
     };
     let peer = link::Peer {
-        take: taker(cell.clone(), id.clone(), sender.clone()),
-        group: grouper(strong.scope(), sender.clone()),
+        take: message_handler(cell.clone(), id.clone(), sender.clone()),
+        group: order_grouper(strong.scope(), sender.clone()),
         sent: {
             let messages = strong.scope().messages.clone();
             Arc::new(move |down, bytes| messages.sent(agent::kind_down(&down.orders), bytes))
@@ -70,22 +71,22 @@
             Box::new(move || closed.notify_one())
         },
     };
-    strong.connecting(id, sender);
+    strong.note_connecting(id, sender);
     drop(strong);
     link::connect(&row.addr, hello, rx, peer).await
 }
 
-type Taker = Arc<dyn Fn(agent::Up) + Send + Sync>;
+type MessageHandler = Arc<dyn Fn(agent::Up) + Send + Sync>;
 
-fn taker(cell: Weak<Cell>, id: id::AgentId, sender: Arc<LinkSender>) -> Taker {
+fn message_handler(cell: Weak<Cell>, id: id::AgentId, sender: Arc<LinkSender>) -> MessageHandler {
     Arc::new(move |up| {
         if let Some(cell) = cell.upgrade() {
-            cell.take(&id, &sender, up);
+            cell.handle_message(&id, &sender, up);
         }
     })
 }
 
-fn grouper(scope: &Scope, sender: Arc<LinkSender>) -> link::Group<Order, agent::Down> {
+fn order_grouper(scope: &Scope, sender: Arc<LinkSender>) -> link::Group<Order, agent::Down> {
     let (cell, epoch) = (scope.cell, scope.epoch);
     Arc::new(move |orders| {
         sender.delivery().record_sent(time::Instant::now());
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,5 @@
-//! The entry: takes callers and operators over HTTP, owns cells, dispatches.
+//! The entry process: serves callers and operators over HTTP, owns cells and dispatches their
+//! tasks to agents.
 
 mod agent_link;
 mod cell;
@@ -34,26 +35,26 @@
 use crate::wire::platform;
 use crate::wire::server;
 
-/// What an entry is started with.
+/// The settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Names the entry.
+    /// The entry's name in the table, in links and in logs.
     pub id: id::EntryId,
-    /// Where callers and operators connect; port 0 takes any.
+    /// The address that callers and operators connect to; port 0 binds any free port.
     pub http_addr: net::SocketAddr,
-    /// Where other entries connect; port 0 takes any.
+    /// The address that other entries connect to; port 0 binds any free port.
     pub peer_addr: net::SocketAddr,
-    /// The address that other entries are told, where it differs (host and port).
+    /// The address (host and port) under which other entries reach `peer_addr`, where it differs.
     pub advertise: Option<CompactString>,
-    /// Cells of the whole system; the same for every process.
+    /// The number of cells in the whole system; every process has the same.
     pub cells: u16,
-    /// Who goes next and where to.
+    /// How owners order waiting tasks and choose agents for them.
     pub policy: owner::Policy,
-    /// How long a stopping entry waits for what is in flight.
+    /// Longest that a stopping entry waits for the submissions in flight.
     pub drain: time::Duration,
 }
 
-/// A running entry.
+/// A running entry; dropping it ends it at once.
 pub struct Entry {
     core: Arc<Core>,
     http: server::Server,
@@ -61,7 +62,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Opens an entry; it serves once it has read a configuration.
+/// Opens an entry. It takes submissions once it has read a configuration and knows a cell's owner.
 ///
 /// # Errors
 ///
@@ -84,9 +85,9 @@
         platform,
         messages,
         inward_links,
-        events::ownership,
+        events::ownership_events,
     );
-    core_ref.put(&core);
+    core_ref.set(&core);
     let http = http::bind(cfg.http_addr, core.clone()).await?;
     let tasks = spawn(&core);
     Ok(Entry {
@@ -99,24 +100,24 @@
 
 fn spawn(core: &Arc<Core>) -> Vec<JoinHandle<()>> {
     vec![
-        tokio::spawn(core.config.clone().run(events::config(core))),
+        tokio::spawn(core.config.clone().run(events::config_events(core))),
         tokio::spawn(core.ownership.clone().run()),
-        tokio::spawn(peering::tend(Arc::downgrade(core))),
+        tokio::spawn(peering::maintain_links(Arc::downgrade(core))),
     ]
 }
 
 impl Entry {
-    /// Where callers and operators connect.
+    /// The bound address for callers and operators.
     pub fn http_addr(&self) -> net::SocketAddr {
         self.http.addr()
     }
 
-    /// Where other entries connect.
+    /// The bound address for other entries.
     pub fn peer_addr(&self) -> net::SocketAddr {
         self.peers.addr()
     }
 
-    /// Its id.
+    /// The id that the entry was opened with.
     pub fn id(&self) -> &id::EntryId {
         &self.core.cfg.id
     }
@@ -131,17 +132,17 @@
         self.core.is_ready()
     }
 
-    /// Slots of usable agents in the cells that this entry owns.
+    /// The number of slots of usable agents in the cells that this entry owns.
     pub fn usable_slots(&self) -> u32 {
         self.core.usable_slots()
     }
 
     /// Waits until an operator asks for a drain.
-    pub async fn stop_asked(&self) {
-        self.core.stop_asked().await;
+    pub async fn drain_requested(&self) {
+        self.core.drain_requested().await;
     }
 
-    /// Drains and stops: refuses new submissions, hands its cells over, answers its callers.
+    /// Drains and stops: refuses new submissions, hands its cells over and answers its callers.
     pub async fn stop(self) {
         self.core.drain().await;
         self.kill();
--- a/src/entry/offload.rs
+++ b/src/entry/offload.rs
@@ -1,4 +1,4 @@
-//! Large inputs on their way in and large answers on their way out of an entry.
+//! Moves large inputs of submissions into the object store and loads large answers from it.
 
 use compact_str::CompactString;
 use serde_json::value::RawValue;
@@ -9,15 +9,16 @@
 use crate::wire::objects;
 use crate::wire::platform;
 
-/// Most bytes of answers that one reply carries.
-pub const MAX_REPLY: usize = 64 * 1024 * 1024;
+/// Most bytes of answers that one reply carries; answers over this are refused whole.
+pub const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Stores the large inputs of a submission. Returns the names under which they are.
+/// Stores the large inputs of a submission and replaces each by a reference to its object. Returns
+/// the names of the objects.
 ///
 /// # Errors
 ///
-/// Refuses the submission, with nothing run, where the object store doesn't take them.
-pub async fn inputs(
+/// Refuses the submission, with nothing run, if the object store doesn't take an input.
+pub async fn store_inputs(
     store: &platform::Objects,
     submission: &mut Submission,
 ) -> Result<Vec<CompactString>, Refusal> {
@@ -27,9 +28,9 @@
             continue;
         }
         match objects::store(store, "input", &task.input).await {
-            Ok((name, stand_in)) => {
+            Ok((name, placeholder)) => {
                 names.push(name);
-                task.input = stand_in;
+                task.input = placeholder;
             }
             Err(_) => {
                 objects::remove(store, names);
@@ -41,34 +42,35 @@
     Ok(names)
 }
 
-/// Removes the inputs of a submission that has ended. One whose outcome is unknown may still run.
-pub fn forget(store: &platform::Objects, names: Vec<CompactString>, ending: &Ending) {
+/// Removes the stored inputs of a submission that has ended. If its outcome is unknown they stay,
+/// since it may still run.
+pub fn remove_inputs(store: &platform::Objects, names: Vec<CompactString>, ending: &Ending) {
     match ending {
         Ending::Failed(refusal) if refusal.unknown => {}
         Ending::Complete(_) | Ending::Failed(_) => objects::remove(store, names),
     }
 }
 
-/// Fetches the large answers among a job's answers.
+/// Loads the large answers among a job's answers from the object store and returns all answers.
 ///
 /// # Errors
 ///
-/// Fails where one can't be fetched, or all together are over [`MAX_REPLY`]: an answer is whole or
-/// none.
-pub async fn answers(
+/// Refuses the whole reply if one answer can't be loaded, or if all together are over
+/// [`MAX_REPLY_BYTES`]: a reply never holds only a part of the answers.
+pub async fn load_answers(
     store: &platform::Objects,
     answers: &[Box<RawValue>],
 ) -> Result<Vec<Box<RawValue>>, Refusal> {
-    let mut whole = Vec::with_capacity(answers.len());
+    let mut loaded = Vec::with_capacity(answers.len());
     let mut bytes = 0;
     for answer in answers {
         let value = objects::load(store, answer.clone()).await;
         let value = value.map_err(|_| Refusal::new(Code::AnswerInStore))?;
         bytes += value.get().len();
-        if bytes > MAX_REPLY {
+        if bytes > MAX_REPLY_BYTES {
             return Err(Refusal::new(Code::AnswerTooLarge));
         }
-        whole.push(value);
+        loaded.push(value);
     }
-    Ok(whole)
+    Ok(loaded)
 }
--- a/src/entry/operate.rs
+++ b/src/entry/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' paths: show and change the configuration, drain.
+//! The operators' paths: show the configuration, change it, and drain the entry.
 
 use std::sync::Arc;
 
@@ -12,24 +12,24 @@
 use crate::refusal::Refusal;
 use crate::wire::server::Reply;
 
-/// `PUT /v1/config`.
+/// The body of `PUT /v1/config`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
     /// The version that the change was made from.
     pub base: id::Version,
-    /// The whole new document.
+    /// The new document, which replaces the whole old one.
     pub document: class::Document,
 }
 
 /// The answer to an accepted change.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Accepted {
-    /// The version under which it is in force.
+    /// The version under which the document is in force.
     pub version: id::Version,
 }
 
-/// A refused change: the refusal and every mistake.
+/// The answer to a refused change: the refusal, and all mistakes in the document.
 #[derive(Serialize)]
 struct Refused {
     #[serde(flatten)]
@@ -37,7 +37,7 @@
     mistakes: Vec<class::Mistake>,
 }
 
-/// `GET /v1/config`.
+/// Answers `GET /v1/config` with the configuration in force.
 pub fn show(core: &Core) -> Reply {
     match core.config.get() {
         Some(config) => Reply::json(StatusCode::OK, &*config),
@@ -45,7 +45,7 @@
     }
 }
 
-/// `PUT /v1/config`.
+/// Answers `PUT /v1/config`: puts a new configuration into force, or refuses it with all mistakes.
 pub async fn change(core: &Core, body: &[u8]) -> Reply {
     let change: Change = match serde_json::from_slice(body) {
         Ok(change) => change,
@@ -61,9 +61,9 @@
     }
 }
 
-/// `POST /v1/drain`.
+/// Answers `POST /v1/drain`: asks the process to drain and stop this entry.
 pub fn drain(core: &Arc<Core>) -> Reply {
-    core.ask_to_stop();
+    core.request_drain();
     Reply::json(
         StatusCode::ACCEPTED,
         &serde_json::json!({ "draining": true }),
--- a/src/entry/owning.rs
+++ b/src/entry/owning.rs
@@ -1,4 +1,5 @@
-//! What runs for a cell for as long as this entry owns it: its members, claims and time bounds.
+//! Starts the tasks that run while this entry owns a cell: they watch its members, write its claims
+//! and check its time bounds.
 
 use std::sync::{Arc, Weak};
 use std::time;
@@ -10,21 +11,24 @@
 use crate::entry::linking;
 use crate::entry::scope::Scope;
 
-/// How often what is due is done.
-const TICK: time::Duration = time::Duration::from_millis(25);
+/// Interval at which the owner's time bounds and the links are checked.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(25);
 
-/// Spawns a cell whose epoch was just written to the table.
+/// Opens a cell whose epoch was just written to the table, and spawns its tasks.
 pub fn spawn(scope: Scope) -> Arc<Cell> {
     let (cell, claims) = cell::open(scope);
     let weak = Arc::downgrade(&cell);
-    cell.keep(tokio::spawn(membership::run(
+    cell.add_task(tokio::spawn(membership::run(
         cell.scope().table.clone(),
         cell.scope().cell,
         cell.members_changed(),
         Arc::new(membership_events(&cell)),
     )));
-    cell.keep(tokio::spawn(claiming::write(weak.clone(), claims)));
-    cell.keep(tokio::spawn(tick(weak)));
+    cell.add_task(tokio::spawn(claiming::read_then_write(
+        weak.clone(),
+        claims,
+    )));
+    cell.add_task(tokio::spawn(tick(weak)));
     cell
 }
 
@@ -35,15 +39,19 @@
             let Some(cell) = first.upgrade() else {
                 return;
             };
-            let lives = membership::current_incarnations(members);
+            let incarnations = membership::current_incarnations(members);
             let lost = membership::lost_incarnations(members);
-            cell.with(|owner, now| owner.set_members(now, lives, &lost));
+            cell.apply_event(|owner, now| owner.set_members(now, incarnations, &lost));
         }),
         current: Box::new(move |members| {
             if let Some(cell) = current.upgrade() {
                 let weak = Arc::downgrade(&cell);
-                cell.tend_members(members, |id, row| {
-                    tokio::spawn(linking::tend(weak.clone(), id.clone(), row.clone()))
+                cell.update_members(members, |id, row| {
+                    tokio::spawn(linking::maintain_link(
+                        weak.clone(),
+                        id.clone(),
+                        row.clone(),
+                    ))
                 });
             }
         }),
@@ -51,13 +59,13 @@
 }
 
 async fn tick(cell: Weak<Cell>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
         let Some(cell) = cell.upgrade() else {
             return;
         };
-        cell.with(owner::Owner::tick);
-        cell.tend_links();
+        cell.apply_event(owner::Owner::tick);
+        cell.check_links();
     }
 }
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -1,4 +1,4 @@
-//! Keeps the links to the owners of other cells up, and takes what they say.
+//! Maintains the links to the owners of other cells and handles their messages.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Weak};
@@ -7,52 +7,54 @@
 use compact_str::CompactString;
 
 use crate::controller::cell_state::Suspicion;
-use crate::entry::core::{Core, Place};
+use crate::entry::core::{CellOwner, Core};
 use crate::entry::peers::PeerLink;
 use crate::id;
 use crate::wire::link;
 use crate::wire::peer::{self, Passed, Returned};
 use crate::wire::reach;
 
-/// How often the links are looked after.
-const TICK: time::Duration = time::Duration::from_millis(100);
+/// Interval at which the links are checked.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Keeps a link to the owner of every cell of others, and reports owners that seem gone.
-pub async fn tend(core: Weak<Core>) {
-    let mut interval = tokio::time::interval(TICK);
+/// Maintains a link to the owner of each cell that another entry owns, and reports owners that seem
+/// to be dead.
+pub async fn maintain_links(core: Weak<Core>) {
+    let mut interval = tokio::time::interval(CHECK_INTERVAL);
     loop {
         interval.tick().await;
         let Some(core) = core.upgrade() else {
             return;
         };
         let mut owners = HashSet::new();
-        for (cell, place) in core.places().into_iter().enumerate() {
-            if let Place::There(owner) = place {
-                owners.insert(owner.addr.clone());
-                tend_one(&core, cell as id::Cell, &owner.addr, owner.epoch);
+        for (cell, owner) in core.cell_owners().into_iter().enumerate() {
+            if let CellOwner::Remote(remote) = owner {
+                owners.insert(remote.addr.clone());
+                maintain_link(&core, cell as id::Cell, &remote.addr, remote.epoch);
             }
         }
         core.peers.retain(&owners);
     }
 }
 
-fn tend_one(core: &Arc<Core>, cell: id::Cell, addr: &CompactString, epoch: id::Epoch) {
+fn maintain_link(core: &Arc<Core>, cell: id::Cell, addr: &CompactString, epoch: id::Epoch) {
     let link = core.peers.link(addr);
     if link.is_up() {
         if link.is_silent() {
             log::warn!("link to the owner at {addr} went silent; it is replaced");
-            link.lose();
+            link.disconnect();
         }
-        if link.is_late() {
-            // Guards against a machine that is gone: nothing refuses, so all that tells is beats
-            // that don't come, and the sooner they are watched the sooner the cell is taken.
+        if link.is_heartbeat_overdue() {
+            // Guards against a machine that is gone: no connection is refused, so missing
+            // heartbeats are the only sign. The sooner the owner is suspected, the sooner the cell
+            // is taken over.
             core.ownership.suspect(cell, epoch, Suspicion::Silent);
         } else {
             core.ownership.clear_suspicion(cell);
         }
         return;
     }
-    if !link.begins_connecting() {
+    if !link.try_begin_connecting() {
         return;
     }
     let core = core.clone();
@@ -69,7 +71,7 @@
                 core.ownership.suspect(cell, epoch, suspicion);
             }
         }
-        link.connected(connected.ok());
+        link.end_connecting(connected.ok());
     });
 }
 
@@ -79,61 +81,61 @@
     link: &Arc<PeerLink>,
 ) -> anyhow::Result<link::Sender<Passed>> {
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
-    let (taking, closing) = (link.clone(), link.clone());
+    let (receiving, closing) = (link.clone(), link.clone());
     let weak = Arc::downgrade(core);
-    let grouping = core.config.clone();
+    let config = core.config.clone();
     let messages = core.messages.clone();
     let entry = core.cfg.id.clone();
-    let connection = link.begin();
-    let number = connection.link;
+    let connection = link.begin_connection();
+    let link_id = connection.link;
     let hello = peer::Hello {
         entry: entry.clone(),
-        link: number,
+        link: link_id,
     };
-    let ends = link::Peer {
-        take: Arc::new(move |up| take(&weak, &taking, up)),
+    let callbacks = link::Peer {
+        take: Arc::new(move |up| handle_message(&weak, &receiving, up)),
         group: Arc::new(move |items: Vec<Passed>| {
-            connection.send();
+            connection.record_sent();
             peer::Down {
                 entry: entry.clone(),
-                link: number,
-                config: grouping.version(),
+                link: link_id,
+                config: config.version(),
                 items,
             }
         }),
         sent: Arc::new(move |down, bytes| messages.sent(peer::kind_down(&down.items), bytes)),
         weigh: peer::weigh_down,
         closed: Box::new(move || {
-            if closing.connection().link == number {
-                closing.lose();
+            if closing.connection().link == link_id {
+                closing.disconnect();
             }
         }),
     };
-    link::connect(addr, hello, rx, ends).await?;
-    // Tells the owner this entry's configuration version.
+    link::connect(addr, hello, rx, callbacks).await?;
+    // The heartbeat tells the owner this entry's configuration version.
     let _ = tx.send(Passed::Heartbeat);
     Ok(tx)
 }
 
-/// Takes one message of an owner.
-fn take(core: &Weak<Core>, link: &PeerLink, up: peer::Up) {
-    link.heard(&up);
+/// Handles one message of an owner.
+fn handle_message(core: &Weak<Core>, link: &PeerLink, up: peer::Up) {
+    link.record_message(&up);
     let Some(core) = core.upgrade() else {
         return;
     };
     core.config.note_version(up.config);
     core.peers.note_version(&up.entry, up.config);
     if let Some(head) = &up.head {
-        core.hear_head(head);
+        core.note_peer_head(head);
     }
     for item in up.items {
         match item {
-            Returned::Ending(seq, ending) => link.answer(seq, Some(ending)),
-            Returned::NotOwner(seq) => link.answer(seq, None),
+            Returned::Ending(seq, ending) => link.end_wait(seq, Some(ending)),
+            Returned::NotOwner(seq) => link.end_wait(seq, None),
             Returned::WantConfig(version) => {
                 let newer = core.config.get().filter(|config| config.version > version);
                 if let Some(config) = newer {
-                    link.give_config(&config);
+                    link.send_config(&config);
                 }
             }
             Returned::Config(config) => core.config.accept_document(*config),
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! The links to the owners of other cells, and what this entry knows of other entries.
+//! The links to the owners of other cells, and the configuration versions of other entries.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,41 +16,42 @@
 use crate::wire::link;
 use crate::wire::peer::{self, Passed, Returned, LATE, SILENCE};
 
-/// The links to owners, by address.
+/// The links to the owners of other cells, by address, and the other entries' versions.
 pub struct Peers {
     links: Mutex<HashMap<CompactString, Arc<PeerLink>>>,
     versions: Mutex<BTreeMap<id::EntryId, id::Version>>,
     inward: InwardLinks,
 }
 
-/// One link to an owner.
+/// The link to one owner, over all its connections, and the submissions that wait on it.
 pub struct PeerLink {
     tx: Mutex<Option<link::Sender<Passed>>>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<Arc<Ending>>>>,
-    next: AtomicU64,
-    heard: Mutex<time::Instant>,
+    pending_replies: Mutex<HashMap<u64, oneshot::Sender<Arc<Ending>>>>,
+    next_seq: AtomicU64,
+    last_heard: Mutex<time::Instant>,
     connecting: AtomicBool,
     connection: Mutex<Arc<Connection>>,
 }
 
-/// One connection of a link. The end of an old one doesn't close its successor.
+/// One connection of a link. Its number keeps the end of an old connection from closing the next
+/// one.
 #[derive(Default)]
 pub struct Connection {
-    /// Its number.
+    /// The number that this entry gave to the connection.
     pub link: id::Link,
     delivery: Mutex<delivery::Delivery>,
 }
 
 impl Connection {
-    /// Notes that a message leaves on it.
-    pub fn send(&self) {
-        let mut delivery = self.delivery.lock().expect("the delivery is whole");
+    /// Notes that a message is being sent on the connection now.
+    pub fn record_sent(&self) {
+        let mut delivery = self.delivery.lock().expect("not poisoned");
         delivery.record_sent(time::Instant::now());
     }
 }
 
 impl Peers {
-    /// Opens an entry's side of the links.
+    /// Opens an empty set of links; `inward` holds those that other entries open to this one.
     pub fn open(inward: InwardLinks) -> Peers {
         Peers {
             links: Mutex::default(),
@@ -59,137 +60,139 @@
         }
     }
 
-    /// Tells all linked entries that the configuration has changed here.
+    /// Tells all linked entries the new configuration version, which a heartbeat carries.
     pub fn announce_config(&self) {
-        self.tell(|| Passed::Heartbeat);
-        self.inward.tell(|| Returned::Heartbeat);
+        self.send_to_all(|| Passed::Heartbeat);
+        self.inward.send_to_all(|| Returned::Heartbeat);
     }
 
-    /// Tells the entries that rely on this one's reads that the watched rows have changed.
+    /// Tells the entries that rely on this one's reads that the watched rows have changed; a
+    /// heartbeat carries their digest.
     pub fn announce_head(&self) {
-        self.inward.tell(|| Returned::Heartbeat);
+        self.inward.send_to_all(|| Returned::Heartbeat);
     }
 
     /// Asks all linked entries for a configuration newer than the one given.
-    pub fn want_config(&self, version: id::Version) {
-        self.tell(|| Passed::WantConfig(version));
-        self.inward.tell(|| Returned::WantConfig(version));
+    pub fn request_config(&self, version: id::Version) {
+        self.send_to_all(|| Passed::WantConfig(version));
+        self.inward.send_to_all(|| Returned::WantConfig(version));
     }
 
-    fn tell(&self, item: impl Fn() -> Passed) {
-        let links = self.links.lock().expect("the links are whole");
+    fn send_to_all(&self, item: impl Fn() -> Passed) {
+        let links = self.links.lock().expect("not poisoned");
         for link in links.values() {
-            if let Some(tx) = &*link.tx.lock().expect("the link is whole") {
+            if let Some(tx) = &*link.tx.lock().expect("not poisoned") {
                 let _ = tx.send(item());
             }
         }
     }
 
-    /// Notes the configuration version of another entry, and passes news of it on.
+    /// Notes the configuration version of another entry; if it is new, sends all known versions to
+    /// the entries that are linked to this one.
     pub fn note_version(&self, entry: &id::EntryId, version: id::Version) {
-        let mut versions = self.versions.lock().expect("the versions are whole");
+        let mut versions = self.versions.lock().expect("not poisoned");
         if versions.insert(entry.clone(), version) != Some(version) {
-            self.inward.tell(|| Returned::Versions(versions.clone()));
+            self.inward
+                .send_to_all(|| Returned::Versions(versions.clone()));
         }
     }
 
     /// The configuration versions of other entries, as last heard.
     pub fn versions(&self) -> BTreeMap<id::EntryId, id::Version> {
-        self.versions
-            .lock()
-            .expect("the versions are whole")
-            .clone()
+        self.versions.lock().expect("not poisoned").clone()
     }
 
-    /// Notes what another entry knows of all versions.
+    /// Notes the configuration versions that another entry knows.
     pub fn note_versions(&self, heard: BTreeMap<id::EntryId, id::Version>) {
-        let mut versions = self.versions.lock().expect("the versions are whole");
+        let mut versions = self.versions.lock().expect("not poisoned");
         versions.extend(heard);
     }
 
-    /// Gives up links to entries that own nothing any more.
+    /// Closes the links to addresses that aren't among the owners' any more.
     pub fn retain(&self, owners: &HashSet<CompactString>) {
-        let mut links = self.links.lock().expect("the links are whole");
+        let mut links = self.links.lock().expect("not poisoned");
         links.retain(|addr, link| {
             let stays = owners.contains(addr);
             if !stays {
-                link.lose();
+                link.disconnect();
             }
             stays
         });
     }
 
-    /// Passes a submission on. Returns whether it left, and its ending unless the link broke or
-    /// the receiver isn't the owner.
+    /// Passes a submission on to an owner. Returns whether it was sent, and its ending unless the
+    /// link was lost or the receiver isn't the owner.
     pub async fn submit(
         &self,
         addr: &CompactString,
         submission: Arc<Submission>,
     ) -> (bool, Option<Arc<Ending>>) {
         let submission = Box::new(Submission::clone(&submission));
-        self.pass(addr, |seq| Passed::Submit(seq, submission)).await
+        self.pass_on(addr, |seq| Passed::Submit(seq, submission))
+            .await
     }
 
-    /// Passes a cancellation on.
+    /// Passes a cancellation on to an owner; returns the same as [`Peers::submit`].
     pub async fn cancel(
         &self,
         addr: &CompactString,
         key: id::JobKey,
     ) -> (bool, Option<Arc<Ending>>) {
-        self.pass(addr, |seq| Passed::Cancel(seq, key)).await
+        self.pass_on(addr, |seq| Passed::Cancel(seq, key)).await
     }
 
-    async fn pass(
+    async fn pass_on(
         &self,
         addr: &CompactString,
         item: impl FnOnce(u64) -> Passed,
     ) -> (bool, Option<Arc<Ending>>) {
         let link = self.link(addr);
-        let Some(tx) = link.tx.lock().expect("the link is whole").clone() else {
+        let Some(tx) = link.tx.lock().expect("not poisoned").clone() else {
             return (false, None);
         };
-        let seq = link.next.fetch_add(1, Ordering::Relaxed);
-        let (reply, rx) = oneshot::channel();
-        link.waiting
+        let seq = link.next_seq.fetch_add(1, Ordering::Relaxed);
+        let (tx_ending, rx) = oneshot::channel();
+        link.pending_replies
             .lock()
-            .expect("the link is whole")
-            .insert(seq, reply);
-        let waiting = Waiting { link: &link, seq };
+            .expect("not poisoned")
+            .insert(seq, tx_ending);
+        let pending = PendingReply { link: &link, seq };
         if tx.send(item(seq)).is_err() {
             return (false, None);
         }
         drop(tx);
         let ending = rx.await.ok();
-        drop(waiting);
+        drop(pending);
         (true, ending)
     }
 
-    /// The link to an address, which may not be connected yet.
+    /// Returns the link to an address; a new one isn't connected yet.
     pub fn link(&self, addr: &CompactString) -> Arc<PeerLink> {
-        let mut links = self.links.lock().expect("the links are whole");
+        let mut links = self.links.lock().expect("not poisoned");
         links.entry(addr.clone()).or_default().clone()
     }
 
     /// Closes all links.
     pub fn close(&self) {
-        for (_, link) in self.links.lock().expect("the links are whole").drain() {
-            link.lose();
+        for (_, link) in self.links.lock().expect("not poisoned").drain() {
+            link.disconnect();
         }
     }
 }
 
-/// Takes a waiting number off the list even where its caller gave up.
-struct Waiting<'a> {
+/// Removes a sequence number from the pending replies when it is dropped, also if the caller gave
+/// up.
+struct PendingReply<'a> {
     link: &'a PeerLink,
     seq: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingReply<'_> {
     fn drop(&mut self) {
         self.link
-            .waiting
+            .pending_replies
             .lock()
-            .expect("the link is whole")
+            .expect("not poisoned")
             .remove(&self.seq);
     }
 }
@@ -198,9 +201,9 @@
     fn default() -> PeerLink {
         PeerLink {
             tx: Mutex::default(),
-            waiting: Mutex::default(),
-            next: AtomicU64::new(1),
-            heard: Mutex::new(time::Instant::now()),
+            pending_replies: Mutex::default(),
+            next_seq: AtomicU64::new(1),
+            last_heard: Mutex::new(time::Instant::now()),
             connecting: AtomicBool::new(false),
             connection: Mutex::default(),
         }
@@ -208,85 +211,92 @@
 }
 
 impl PeerLink {
-    /// Gives the link up: whoever waits on it looks for the owner again.
-    pub fn lose(&self) {
-        self.tx.lock().expect("the link is whole").take();
-        self.waiting.lock().expect("the link is whole").clear();
+    /// Closes the connection and ends the waits, so that each submission searches for the owner
+    /// again.
+    pub fn disconnect(&self) {
+        self.tx.lock().expect("not poisoned").take();
+        self.pending_replies.lock().expect("not poisoned").clear();
     }
 
-    fn hear(&self) {
-        *self.heard.lock().expect("the link is whole") = time::Instant::now();
+    fn record_heard(&self) {
+        *self.last_heard.lock().expect("not poisoned") = time::Instant::now();
     }
 
     /// Sends a configuration to the owner, if the link is up.
-    pub fn give_config(&self, config: &class::Versioned) {
-        let tx = self.tx.lock().expect("the link is whole");
+    pub fn send_config(&self, config: &class::Versioned) {
+        let tx = self.tx.lock().expect("not poisoned");
         if let Some(tx) = &*tx {
             let _ = tx.send(Passed::Config(Box::new(config.clone())));
         }
     }
 
-    /// Tells whether it can be sent on.
+    /// Tells whether the link is connected.
     pub fn is_up(&self) -> bool {
-        self.tx.lock().expect("the link is whole").is_some()
+        self.tx.lock().expect("not poisoned").is_some()
     }
 
-    /// Tells whether the owner isn't heard, or doesn't receive what is sent.
+    /// Tells whether the owner wasn't heard, or hasn't confirmed what was sent, for [`SILENCE`].
     pub fn is_silent(&self) -> bool {
-        let heard = *self.heard.lock().expect("the link is whole");
+        let last_heard = *self.last_heard.lock().expect("not poisoned");
         let connection = self.connection();
-        let delivery = connection.delivery.lock().expect("the delivery is whole");
-        heard.elapsed() > SILENCE || delivery.is_stuck(time::Instant::now(), SILENCE)
+        let delivery = connection.delivery.lock().expect("not poisoned");
+        last_heard.elapsed() > SILENCE || delivery.is_stuck(time::Instant::now(), SILENCE)
     }
 
-    /// The newest connection.
+    /// The newest connection, which may have ended.
     pub fn connection(&self) -> Arc<Connection> {
-        self.connection.lock().expect("the link is whole").clone()
+        self.connection.lock().expect("not poisoned").clone()
     }
 
-    /// Tells whether a heartbeat is overdue.
-    pub fn is_late(&self) -> bool {
-        self.heard.lock().expect("the link is whole").elapsed() > LATE
+    /// Tells whether the owner wasn't heard for [`LATE`], so that a heartbeat is overdue.
+    pub fn is_heartbeat_overdue(&self) -> bool {
+        self.last_heard.lock().expect("not poisoned").elapsed() > LATE
     }
 
-    /// Notes that an attempt to connect begins, unless one is under way; tells whether it does.
-    pub fn begins_connecting(&self) -> bool {
+    /// Marks the link as connecting; returns false if an attempt to connect is already under way.
+    pub fn try_begin_connecting(&self) -> bool {
         !self.connecting.swap(true, Ordering::SeqCst)
     }
 
-    /// Notes that an attempt to connect has ended.
-    pub fn connected(&self, tx: Option<link::Sender<Passed>>) {
+    /// Ends an attempt to connect; `tx` is the sending half if it succeeded.
+    pub fn end_connecting(&self, tx: Option<link::Sender<Passed>>) {
         if let Some(tx) = tx {
-            *self.tx.lock().expect("the link is whole") = Some(tx);
+            *self.tx.lock().expect("not poisoned") = Some(tx);
         }
         self.connecting.store(false, Ordering::SeqCst);
     }
 
-    /// Begins a new connection, which counts as heard.
-    pub fn begin(&self) -> Arc<Connection> {
+    /// Begins a new connection under a random number; the owner counts as heard now.
+    pub fn begin_connection(&self) -> Arc<Connection> {
         let connection = Arc::new(Connection {
-            // JSON numbers of other languages hold 53 bits.
+            // Numbers in the JSON of other languages hold only 53 bits.
             link: rand::random::<u64>() >> 11,
             delivery: Mutex::default(),
         });
-        *self.connection.lock().expect("the link is whole") = connection.clone();
-        self.hear();
+        *self.connection.lock().expect("not poisoned") = connection.clone();
+        self.record_heard();
         connection
     }
 
-    /// Notes a message of the owner: it is heard, and what it confirms has arrived.
-    pub fn heard(&self, up: &peer::Up) {
-        self.hear();
+    /// Records a message of the owner: the owner was heard, and the messages that it confirms have
+    /// arrived.
+    pub fn record_message(&self, up: &peer::Up) {
+        self.record_heard();
         let connection = self.connection();
         if connection.link == up.link {
-            let mut delivery = connection.delivery.lock().expect("the delivery is whole");
+            let mut delivery = connection.delivery.lock().expect("not poisoned");
             delivery.confirm(up.received);
         }
     }
 
-    /// Ends the wait for a submission or cancellation; none says that the owner isn't one.
-    pub fn answer(&self, seq: u64, ending: Option<Arc<Ending>>) {
-        let tx = self.waiting.lock().expect("the link is whole").remove(&seq);
+    /// Ends the wait for a submission or cancellation; `None` means that the receiver isn't the
+    /// owner.
+    pub fn end_wait(&self, seq: u64, ending: Option<Arc<Ending>>) {
+        let tx = self
+            .pending_replies
+            .lock()
+            .expect("not poisoned")
+            .remove(&seq);
         if let (Some(tx), Some(ending)) = (tx, ending) {
             let _ = tx.send(ending);
         }
--- a/src/entry/scope.rs
+++ b/src/entry/scope.rs
@@ -1,4 +1,4 @@
-//! What an owned cell is given by its entry.
+//! The values and callbacks that an entry gives to a cell which it owns.
 
 use std::sync::Arc;
 use std::time;
@@ -9,30 +9,31 @@
 use crate::id;
 use crate::wire::platform;
 
-/// What a cell is spawned with.
+/// The values and callbacks that a cell is spawned with.
 pub struct Scope {
-    /// The cell.
+    /// The number of the cell.
     pub cell: id::Cell,
-    /// The owner's epoch.
+    /// The epoch of this entry's ownership of the cell.
     pub epoch: id::Epoch,
-    /// The revision of the cell's row.
+    /// The revision of the cell's row that holds this epoch.
     pub revision: platform::Revision,
-    /// When the operation began that showed the ownership.
-    pub begun: time::Instant,
-    /// Until when the owner before may have started work ahead of its claims.
-    pub doubt: time::Instant,
-    /// This entry.
+    /// When the table operation began that proved the ownership.
+    pub proof_begun: time::Instant,
+    /// The end of the time in which the previous owner may have started tasks before it wrote their
+    /// claims.
+    pub unclaimed_starts_until: time::Instant,
+    /// The id of this entry.
     pub entry: id::EntryId,
-    /// The platform's table.
+    /// The platform's table, for members and claims.
     pub table: platform::Table,
-    /// The counters.
+    /// The counters of messages sent, by kind.
     pub messages: count::Messages,
-    /// Who goes next and where to.
+    /// How the owner orders waiting tasks and chooses agents for them.
     pub policy: owner::Policy,
-    /// The configuration in force.
+    /// The configuration in force when the cell was spawned.
     pub config: Arc<class::Versioned>,
-    /// Called where the cell turns out to have another owner.
-    pub deposed: Box<dyn Fn() + Send + Sync>,
-    /// Called where a write that began at the time given proved the ownership.
-    pub proved: Box<dyn Fn(time::Instant) + Send + Sync>,
+    /// Called when the cell turns out to have another owner.
+    pub ownership_lost: Box<dyn Fn() + Send + Sync>,
+    /// Called when a write that began at the time given proved the ownership.
+    pub ownership_proved: Box<dyn Fn(time::Instant) + Send + Sync>,
 }
--- a/src/entry/spans.rs
+++ b/src/entry/spans.rs
@@ -1,4 +1,5 @@
-//! The spans of an entry: the submission as its caller sees it, the job and its tasks at the owner.
+//! Records the trace spans of an entry: one for each submission that it answers, and those of the
+//! jobs and tasks in the cells that it owns.
 
 use std::time;
 
@@ -10,21 +11,21 @@
 use crate::id;
 use crate::trace::{self, Hop, Kind, Span};
 
-/// Who owns the cell whose spans are recorded.
+/// The ownership under which the spans of a cell are recorded.
 #[derive(Clone, Debug)]
 pub struct Owner {
-    /// The entry.
+    /// The id of the entry that owns the cell.
     pub entry: id::EntryId,
-    /// The cell.
+    /// The number of the cell.
     pub cell: id::Cell,
-    /// The epoch.
+    /// The epoch of the ownership.
     pub epoch: id::Epoch,
-    /// When the ownership began; moments are told apart by their distance from it.
+    /// When the ownership began; the times in span ids are counted from it.
     pub since: time::Instant,
 }
 
-/// Records a submission that came in by HTTP and was answered.
-pub fn submission(
+/// Records the span of a submission that came by HTTP and was answered.
+pub fn record_submission(
     hop: Hop,
     begun: time::Instant,
     entry: &id::EntryId,
@@ -44,20 +45,20 @@
 }
 
 impl Owner {
-    /// Puts the agent's span below the span of this start. The start's moment is in the id of that
-    /// span, so that a second start of a refused task gets its own.
-    pub fn start(&self, now: time::Instant, start: &mut order::Start) {
+    /// Makes the span of this start the parent of the agent's span. The id of the start's span
+    /// depends on the time `now`, so that a second start of a refused task gets a span of its own.
+    pub fn set_start_parent(&self, now: time::Instant, start: &mut order::Start) {
         if !trace::is_on() {
             return;
         }
-        let owner = self.job(start.traceparent.as_deref(), &start.id.job);
-        if let Some(owner) = owner {
-            let task = self.task(&owner, start.id.index, now);
+        let job = self.job_span(start.traceparent.as_deref(), &start.id.job);
+        if let Some(job) = job {
+            let task = self.task_span(&job, start.id.index, now);
             start.traceparent = task.map(|hop| hop.traceparent());
         }
     }
 
-    /// Records what is over.
+    /// Records the spans of a task that was answered or of a job that has ended.
     pub fn record(&self, timing: Timing) {
         if !trace::is_on() {
             return;
@@ -69,8 +70,8 @@
     }
 
     fn record_task(&self, task: timing::Task) {
-        let owner = self.job(Some(&task.traceparent), &task.id.job);
-        let Some(hop) = owner.and_then(|owner| self.task(&owner, task.id.index, task.sent)) else {
+        let job = self.job_span(Some(&task.traceparent), &task.id.job);
+        let Some(hop) = job.and_then(|job| self.task_span(&job, task.id.index, task.sent)) else {
             return;
         };
         hop.child().record(Span {
@@ -96,7 +97,7 @@
     }
 
     fn record_job(&self, job: timing::Job) {
-        let Some(hop) = self.job(Some(&job.traceparent), &job.key) else {
+        let Some(hop) = self.job_span(Some(&job.traceparent), &job.key) else {
             return;
         };
         let startable = job.startable.unwrap_or(job.ended);
@@ -125,15 +126,16 @@
         });
     }
 
-    /// The span of a job in this epoch, below the span of the entry that passed it on.
-    fn job(&self, traceparent: Option<&str>, key: &id::JobKey) -> Option<Hop> {
+    /// The span of a job in this epoch; its parent is the span of the entry that took the
+    /// submission.
+    fn job_span(&self, traceparent: Option<&str>, key: &id::JobKey) -> Option<Hop> {
         let salt = compact_str::format_compact!("{key} {}", self.epoch);
         Hop::derived(traceparent, salt.as_bytes())
     }
 
-    fn task(&self, owner: &Hop, index: id::TaskIndex, sent: time::Instant) -> Option<Hop> {
+    fn task_span(&self, job: &Hop, index: id::TaskIndex, sent: time::Instant) -> Option<Hop> {
         let sent = sent.saturating_duration_since(self.since).as_nanos();
         let salt: CompactString = compact_str::format_compact!("{index} {sent}");
-        Hop::derived(Some(&owner.traceparent()), salt.as_bytes())
+        Hop::derived(Some(&job.traceparent()), salt.as_bytes())
     }
 }
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an entry shows of itself: `GET /v1/status` and `GET /metrics`.
+//! The status and the metrics of an entry, for `GET /v1/status` and `GET /metrics`.
 
 use std::collections::BTreeMap;
 
@@ -7,61 +7,61 @@
 
 use crate::decide::fleet;
 use crate::decide::owner;
-use crate::entry::core::{Core, Place};
+use crate::entry::core::{CellOwner, Core};
 use crate::id;
 use crate::metrics;
 
-/// The status of an entry.
+/// The status of an entry, as `GET /v1/status` answers it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Status {
-    /// The entry.
+    /// The id of the entry.
     pub entry: id::EntryId,
-    /// The configuration in force here; 0 before any was read.
+    /// The configuration version in force at this entry; 0 before any was read.
     pub config_version: id::Version,
-    /// The versions of the other entries, as last heard.
+    /// The configuration versions of the other entries, as last heard.
     pub other_versions: BTreeMap<id::EntryId, id::Version>,
-    /// Entries whose version is behind the newest that is known here.
+    /// Entries whose configuration version is older than the newest that this entry knows.
     pub stragglers: Vec<id::EntryId>,
-    /// Whether it stops.
+    /// Whether the entry is draining.
     pub draining: bool,
-    /// Submissions whose callers wait here.
+    /// The number of submissions whose callers wait at this entry.
     pub in_flight: usize,
-    /// The cells, in order.
+    /// All cells, by number.
     pub cells: Vec<CellStatus>,
-    /// Messages that this entry has sent, by kind.
+    /// The number of messages that this entry has sent, by kind.
     pub messages: BTreeMap<CompactString, u64>,
 }
 
-/// One cell as this entry sees it.
+/// A cell and its owner, as far as this entry knows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CellStatus {
-    /// The cell.
+    /// The number of the cell.
     pub cell: id::Cell,
-    /// Its owner; empty where this entry knows of none.
+    /// The id of the owner; empty if this entry knows of none.
     pub owner: id::EntryId,
-    /// The owner's epoch.
+    /// The owner's epoch; 0 if no owner is known.
     pub epoch: id::Epoch,
-    /// What this entry knows as the owner.
+    /// The details that this entry knows if it owns the cell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owned: Option<OwnedStatus>,
 }
 
-/// What only the owner of a cell knows.
+/// The details of a cell that only its owner knows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct OwnedStatus {
     /// Whether the takeover is over.
     pub ready: bool,
-    /// Jobs that have not ended.
+    /// The number of jobs that have not ended.
     pub open_jobs: usize,
-    /// Tasks that wait for a slot.
+    /// The number of tasks that wait for a slot.
     pub waiting_tasks: usize,
-    /// Slots of usable agents.
+    /// The number of slots of usable agents.
     pub slots: u32,
-    /// Those that are free.
+    /// The number of free slots of usable agents.
     pub free_slots: u32,
     /// The agents, each beside its backend server.
     pub agents: BTreeMap<id::AgentId, AgentStatus>,
-    /// Waiting tasks by client account.
+    /// The number of waiting tasks of each client account.
     #[serde(rename = "customers")]
     pub client_accounts: BTreeMap<id::ClientAccount, usize>,
 }
@@ -69,23 +69,24 @@
 /// One agent and the backend server beside it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AgentStatus {
-    /// Its failure domain.
+    /// The failure domain of the agent.
     pub failure_domain: CompactString,
-    /// Its rack.
+    /// The rack of the agent.
     pub rack: CompactString,
-    /// `up`, `silent` while its link is gone, `draining` once it or its backend server stops, `away`
-    /// while no backend server has announced itself, `barred` while it looks sick, `probed` while a
-    /// little work tells whether it has recovered.
+    /// `silent` while the agent's link is lost, `draining` once the agent or its backend server
+    /// stops, `away` while no backend server has announced itself, `barred` while it gets no tasks
+    /// because it seems unhealthy, `probed` while it gets a few tasks that show whether it has
+    /// recovered, else `up`.
     pub state: CompactString,
-    /// Slots of its backend server.
+    /// The number of slots of the backend server.
     pub slots: u32,
-    /// Tasks that were sent to it and have no answer.
+    /// The number of tasks that were sent to the agent and have no answer yet.
     pub sent: u32,
 }
 
-/// `GET /v1/status`.
+/// Makes the status for `GET /v1/status`.
 pub fn status(core: &Core) -> Status {
-    let places = core.places().into_iter().enumerate();
+    let places = core.cell_owners().into_iter().enumerate();
     let versions = core.peers.versions();
     Status {
         entry: core.cfg.id.clone(),
@@ -95,9 +96,9 @@
         draining: core.is_draining(),
         in_flight: core.in_flight(),
         cells: places
-            .map(|(cell, place)| cell_status(core, cell as id::Cell, &place))
+            .map(|(cell, owner)| cell_status(core, cell as id::Cell, &owner))
             .collect(),
-        messages: by_kind(core),
+        messages: messages_by_kind(core),
     }
 }
 
@@ -110,14 +111,14 @@
         .collect()
 }
 
-fn cell_status(core: &Core, cell: id::Cell, place: &Place) -> CellStatus {
-    let (owner, epoch, owned) = match place {
-        Place::Nowhere => (id::EntryId::default(), 0, None),
-        Place::There(owner) => (owner.entry.clone(), owner.epoch, None),
-        Place::Here(cell) => (
+fn cell_status(core: &Core, cell: id::Cell, owner: &CellOwner) -> CellStatus {
+    let (owner, epoch, owned) = match owner {
+        CellOwner::Unknown => (id::EntryId::default(), 0, None),
+        CellOwner::Remote(remote) => (remote.entry.clone(), remote.epoch, None),
+        CellOwner::Local(local) => (
             core.cfg.id.clone(),
-            cell.epoch(),
-            Some(cell.read(owned_status)),
+            local.epoch(),
+            Some(local.read(owned_status)),
         ),
     };
     CellStatus {
@@ -128,7 +129,7 @@
     }
 }
 
-fn by_kind(core: &Core) -> BTreeMap<CompactString, u64> {
+fn messages_by_kind(core: &Core) -> BTreeMap<CompactString, u64> {
     let kinds = core.messages.by_kind().into_iter();
     kinds.map(|(kind, n)| (kind.into(), n)).collect()
 }
@@ -165,7 +166,7 @@
     }
 }
 
-/// `GET /metrics`.
+/// Makes the page of metrics for `GET /metrics`.
 pub fn metrics(core: &Core) -> String {
     let mut page = metrics::Page::open();
     page.messages(&core.messages);
@@ -185,9 +186,9 @@
         i64::from(core.is_draining()),
     );
     let mut owned = Vec::new();
-    for (cell, place) in core.places().into_iter().enumerate() {
-        if let Place::Here(here) = place {
-            owned.push((cell.to_string(), here.read(owned_status)));
+    for (cell, owner) in core.cell_owners().into_iter().enumerate() {
+        if let CellOwner::Local(local) = owner {
+            owned.push((cell.to_string(), local.read(owned_status)));
         }
     }
     let mut by_cell = |name: &str, help: &str, value: fn(&OwnedStatus) -> i64| {
--- a/src/filter/class.rs
+++ b/src/filter/class.rs
@@ -1,10 +1,10 @@
-//! Refuses classes that the configuration doesn't know.
+//! Refuses jobs of a class that the configuration doesn't define.
 
 use crate::code;
 use crate::filter::{Context, Draft};
 use crate::refusal::Refusal;
 
-/// The filter.
+/// Passes a draft whose class is defined, and refuses others with `UnknownClass`.
 pub fn filter(cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     let class = draft.job.as_ref().map(|job| &job.class);
     let document = cx.config.as_ref().map(|config| &config.document);
--- a/src/filter/configured.rs
+++ b/src/filter/configured.rs
@@ -1,4 +1,4 @@
-//! Serves nothing before a configuration is in force.
+//! Refuses submissions before a configuration is in force.
 
 use std::time;
 
@@ -6,10 +6,10 @@
 use crate::filter::{Context, Draft};
 use crate::refusal::Refusal;
 
-/// A first configuration is read soon after the table answers.
+/// The entry reads the first configuration soon after the table answers.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
-/// The filter.
+/// Passes a draft if a configuration is in force, and refuses others with `NoConfiguration`.
 pub fn filter(cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     if cx.config.is_none() {
         return Err(Refusal::new(code::Code::NoConfiguration).retry_after(RETRY_AFTER));
--- a/src/filter/draining.rs
+++ b/src/filter/draining.rs
@@ -1,4 +1,4 @@
-//! Refuses new submissions while the entry stops.
+//! Refuses new submissions while the entry drains.
 
 use std::time;
 
@@ -6,10 +6,10 @@
 use crate::filter::{Context, Draft};
 use crate::refusal::Refusal;
 
-/// Another entry can be tried at once.
+/// Short, since the caller can try another entry at once.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(10);
 
-/// The filter.
+/// Passes a draft unless the entry drains, which refuses it with `Draining`.
 pub fn filter(cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     if cx.draining {
         return Err(Refusal::new(code::Code::Draining).retry_after(RETRY_AFTER));
--- a/src/filter/key.rs
+++ b/src/filter/key.rs
@@ -1,11 +1,12 @@
-//! Checks the submission key; an idempotent request without one gets one later.
+//! Checks the submission key. An idempotent request may come without one; the entry mints one after
+//! the chain.
 
 use crate::code;
 use crate::filter::{Context, Draft, Kind};
 use crate::key;
 use crate::refusal::Refusal;
 
-/// The filter.
+/// Passes a draft with a valid key, or a request without one, and refuses others with `KeyMissing`.
 pub fn filter(_cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     let optional = draft.kind == Kind::Request;
     match &draft.key {
@@ -15,7 +16,8 @@
     }
 }
 
-/// Tells whether a text may be a submission key.
+/// Tells whether a text is a valid submission key: 1 to [`key::MAX_KEY_BYTES`] visible ASCII
+/// characters without a slash.
 pub fn is_key(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_graphic() && c != '/';
     (1..=key::MAX_KEY_BYTES).contains(&text.len()) && text.chars().all(allowed)
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -1,7 +1,7 @@
-//! The filter chain that every submission passes at the entry that takes it.
+//! The filter chain that every submission passes at the entry that receives it.
 //!
-//! A filter takes the draft one step further or refuses it with nothing run. The chain runs before
-//! anything is claimed, so that bad input costs one process only and loses nothing.
+//! A filter checks or completes the draft, or refuses it with nothing run. The chain runs before
+//! anything is claimed, so that bad input costs only one process and loses nothing.
 
 pub mod class;
 pub mod configured;
@@ -19,7 +19,7 @@
 use crate::refusal::Refusal;
 use crate::submission;
 
-/// Which path a submission came in by.
+/// The HTTP path that a submission came by.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     /// `POST /v1/jobs`.
@@ -28,7 +28,7 @@
     Request,
 }
 
-/// What the filters know beside the draft.
+/// The state of the entry that filters read.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// The configuration in force, if any.
@@ -40,24 +40,25 @@
 /// A submission on its way through the chain.
 #[derive(Clone, Debug)]
 pub struct Draft {
-    /// Which path it came in by.
+    /// The HTTP path that the submission came by.
     pub kind: Kind,
-    /// The caller's key, as sent.
+    /// The caller's submission key, as sent.
     pub key: Option<CompactString>,
-    /// The trace that it belongs to, as sent.
+    /// The `traceparent` for the submission's starts: the caller's header as sent, or that of the
+    /// entry's own span.
     pub traceparent: Option<CompactString>,
-    /// The body.
+    /// The body of the HTTP request.
     pub body: Bytes,
-    /// The job, once it was read from the body.
+    /// The job, once the parse filter has read it from the body.
     pub job: Option<submission::Job>,
-    /// Whether running it twice would do no harm, once it was read from the body.
+    /// Whether its tasks may run twice without harm, once the parse filter has read the body.
     pub idempotent: bool,
 }
 
-/// One filter.
+/// A filter: returns the draft for the next filter, or the refusal for the caller.
 pub type Filter = fn(&Context, Draft) -> Result<Draft, Refusal>;
 
-/// The chain, cheapest first.
+/// The filters in the order in which they run, cheapest first.
 pub const CHAIN: &[Filter] = &[
     draining::filter,
     configured::filter,
@@ -71,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first filter's refusal; nothing has run.
+/// Returns the refusal of the first filter that refuses; nothing has run.
 pub fn pass(cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     CHAIN
         .iter()
--- a/src/filter/parse.rs
+++ b/src/filter/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the body: a job, or a request that becomes a job of one task.
+//! Reads the body as a job, or as a request that becomes a job of one task.
 
 use crate::class;
 use crate::code;
@@ -7,10 +7,12 @@
 use crate::submission;
 use crate::wire::caller;
 
-/// The filter.
+/// Sets the draft's job from its body. Refuses a body that can't be read, a customer that isn't a
+/// name, and a request without a key that isn't idempotent.
 pub fn filter(_cx: &Context, mut draft: Draft) -> Result<Draft, Refusal> {
     let (job, idempotent) = match draft.kind {
-        // A job's tasks are pure work; what must run once is sent as a request.
+        // The tasks of a job are idempotent by contract; a task that must run only once is sent as
+        // a request.
         Kind::Job => (serde_json::from_slice::<submission::Job>(&draft.body), true),
         Kind::Request => read_request(&draft.body),
     };
--- a/src/filter/tasks.rs
+++ b/src/filter/tasks.rs
@@ -1,4 +1,4 @@
-//! Checks the number of tasks and what each declares.
+//! Checks the number of tasks and the values that each declares.
 
 use crate::code;
 use crate::filter::{Context, Draft};
@@ -8,13 +8,14 @@
 /// Longest declared run time, in milliseconds.
 const MAX_RUN_MS: u64 = 600_000;
 
-/// Longest name of a kind of task, in bytes.
+/// Longest name of a task's kind, in bytes.
 const MAX_KIND_BYTES: usize = 64;
 
-/// Largest amounts that a task may declare; beyond them sums could overflow.
+/// Largest amount of a resource that a task may declare; sums of larger ones could overflow.
 const MAX_NEED: u32 = 16_000_000;
 
-/// The filter.
+/// Passes a draft whose number of tasks the class allows and whose tasks' values are in range. A
+/// refusal names the task and the field.
 pub fn filter(cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     let Some(job) = &draft.job else {
         return Err(Refusal::new(code::Code::BadJson));
