--- a/tests/contract_caller.rs
+++ b/tests/contract_caller.rs
@@ -1,5 +1,5 @@
-//! The contract towards callers: every bad input gets its numbered code, says truly whether it
-//! ran, and leaves an entry that serves the next caller.
+//! The contract with callers: each bad input gets its numbered code and a correct statement whether
+//! it ran, and the entry still serves the next caller.
 
 mod support;
 
@@ -29,7 +29,7 @@
     body: String,
     #[serde(default = "once")]
     repeat: usize,
-    /// A submission under the same key that comes first and completes.
+    /// The body of a submission under the same key that is sent first and completes.
     first: Option<String>,
     #[serde(default)]
     manner: Manner,
@@ -39,18 +39,18 @@
     not_run: bool,
 }
 
-/// How the caller behaves.
+/// How the caller sends its request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 enum Manner {
-    /// Sends everything and waits.
+    /// Sends the whole request and waits for the answer.
     #[default]
     Whole,
-    /// Sends half of the body and closes its side.
+    /// Sends half of the body and closes its side of the connection.
     HalfClosed,
     /// Sends half of the body and nothing more.
     Stalled,
-    /// Sends everything and is gone.
+    /// Sends the whole request and closes the connection.
     Gone,
 }
 
@@ -77,14 +77,14 @@
     (head, body.to_owned())
 }
 
-/// Sends a request in a caller's manner; returns the status and the body of the answer.
+/// Sends a request in the case's manner; returns the status and the body of the answer, if any.
 async fn exchange(addr: std::net::SocketAddr, case: &Case, body: &str) -> Option<(u16, String)> {
     let (head, body) = request(case, body);
     let mut stream = TcpStream::connect(addr).await.unwrap();
     stream.write_all(head.as_bytes()).await.unwrap();
     let half = &body.as_bytes()[..body.len() / 2];
     match case.manner {
-        // A server that has refused already may not read the rest.
+        // The write may fail: a server that has already refused needn't read the rest.
         Manner::Whole => drop(stream.write_all(body.as_bytes()).await),
         Manner::HalfClosed => {
             stream.write_all(half).await.unwrap();
@@ -96,24 +96,24 @@
             return None;
         }
     }
-    let mut read = Vec::new();
-    let _ = stream.read_to_end(&mut read).await;
-    let text = String::from_utf8(read).unwrap();
+    let mut buf = Vec::new();
+    let _ = stream.read_to_end(&mut buf).await;
+    let text = String::from_utf8(buf).unwrap();
     let status = text.split(' ').nth(1)?.parse().ok()?;
     let (_, body) = text.split_once("\r\n\r\n")?;
     Some((status, body.to_owned()))
 }
 
-const GOOD: &str =
+const GOOD_JOB: &str =
     r#"{"customer":"merredin","class":"check","tasks":[{"input":{"ms":1,"value":7}}]}"#;
 
-fn good(key: String) -> Case {
+fn good_job(key: String) -> Case {
     Case {
         name: "a good job".to_owned(),
         method: post(),
         path: jobs(),
         key: Some(key),
-        body: GOOD.to_owned(),
+        body: GOOD_JOB.to_owned(),
         repeat: 1,
         first: None,
         manner: Manner::Whole,
@@ -123,13 +123,13 @@
     }
 }
 
-async fn check(path: &path::Path, case: &Case) {
-    let addr = path.entry.http_addr();
+async fn check(system: &path::System, case: &Case) {
+    let addr = system.entry.http_addr();
     if let Some(first) = &case.first {
         let (status, body) = exchange(addr, case, first).await.unwrap();
         assert_eq!(status, 200, "{}: {body}", case.name);
     }
-    let started = path.truth.tasks_started();
+    let started = system.truth.tasks_started();
     let answer = exchange(addr, case, &case.body.repeat(case.repeat)).await;
     let Some((status, body)) = answer else {
         assert_eq!(case.status, None, "{}: no answer", case.name);
@@ -142,18 +142,18 @@
     let refusal: serde_json::Value = serde_json::from_str(&body).unwrap();
     assert_eq!(refusal["code"], code.as_str(), "{}: {body}", case.name);
     assert_eq!(refusal["not_run"], case.not_run, "{}: {body}", case.name);
-    assert_eq!(path.truth.tasks_started(), started, "{}: ran", case.name);
+    assert_eq!(system.truth.tasks_started(), started, "{}: ran", case.name);
 }
 
 fn run(file: &Path) -> datatest_stable::Result<()> {
     let table: Table = toml::from_str(&std::fs::read_to_string(file)?)?;
     support::block_on(async {
-        let path = path::open(&MemoryPlatform::open()).await;
+        let system = path::open(&MemoryPlatform::open()).await;
         for (number, case) in table.case.iter().enumerate() {
-            check(&path, case).await;
-            check(&path, &good(format!("after-{number}"))).await;
+            check(&system, case).await;
+            check(&system, &good_job(format!("after-{number}"))).await;
         }
-        assert_eq!(path.truth.started_twice(), Vec::new());
+        assert_eq!(system.truth.started_twice(), Vec::new());
     });
     Ok(())
 }
--- a/tests/contract_link_limits.rs
+++ b/tests/contract_link_limits.rs
@@ -35,7 +35,7 @@
         sent: Arc::new(|_, _| {}),
         weigh: |_| 1,
     };
-    let server = link::bind(path::any(), service).await.unwrap();
+    let server = link::bind(path::any_port(), service).await.unwrap();
     Host { server, tx, left }
 }
 
@@ -152,7 +152,7 @@
             sent: Arc::new(|(), _| {}),
             weigh: |()| 1,
         };
-        let server = link::bind(path::any(), service).await.unwrap();
+        let server = link::bind(path::any_port(), service).await.unwrap();
         let closed: Arc<AtomicBool> = Arc::default();
         let closing = closed.clone();
         let (tx, rx) = mpsc::unbounded_channel();
--- a/tests/contract_objects.rs
+++ b/tests/contract_objects.rs
@@ -74,7 +74,7 @@
     let agent_put_fails: Arc<AtomicBool> = Arc::default();
     let runs: Arc<AtomicU64> = Arc::default();
     let counting = runs.clone();
-    let backend = server::bind(path::any(), move |incoming: Incoming| {
+    let backend = server::bind(path::any_port(), move |incoming: Incoming| {
         let counting = counting.clone();
         async move {
             counting.fetch_add(1, Ordering::SeqCst);
--- a/tests/contract_silence.rs
+++ b/tests/contract_silence.rs
@@ -1,4 +1,4 @@
-//! Links that are dead in one direction, or from their first message on.
+//! Links that lose all messages in one direction, or everything from their first message on.
 
 mod support;
 
@@ -28,39 +28,39 @@
 use support::memory::MemoryPlatform;
 use support::path;
 
-/// How often the fakes say something.
+/// Interval of the heartbeats that the fake agents and owners send.
 const HEARTBEAT: time::Duration = time::Duration::from_millis(200);
 
-/// What a fake makes of its first link; its second one works.
+/// The fault of a fake agent's first link; its later links work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum First {
-    /// Nothing that is sent to the fake arrives, while it is heard.
-    Deaf,
-    /// Its first message is lost, and it says nothing more.
-    Mute,
+enum FirstLinkFault {
+    /// Nothing that is sent to the fake agent arrives, but its own messages do.
+    NothingReceived,
+    /// The fake agent's welcome is lost, and it sends nothing more.
+    NothingSent,
 }
 
-/// The links of a fake, as it sees them.
+/// What a fake agent has seen on its links.
 #[derive(Default)]
-struct Fake {
-    links: AtomicU64,
+struct FakeAgent {
+    links_opened: AtomicU64,
     resolved: Mutex<Vec<task::Id>>,
     started: AtomicU64,
-    current: Mutex<Option<link::Sender<Notice>>>,
+    current_tx: Mutex<Option<link::Sender<Notice>>>,
 }
 
-impl Fake {
-    fn tell(&self, notice: Notice) {
-        if let Some(tx) = &*self.current.lock().unwrap() {
+impl FakeAgent {
+    fn send(&self, notice: Notice) {
+        if let Some(tx) = &*self.current_tx.lock().unwrap() {
             let _ = tx.send(notice);
         }
     }
 
-    fn obey(&self, order: Order) {
+    fn handle_order(&self, order: Order) {
         match order {
             Order::Start(start) => {
                 self.started.fetch_add(1, Ordering::SeqCst);
-                self.tell(Notice::Answer(notice::Answer {
+                self.send(Notice::Answer(notice::Answer {
                     id: start.id,
                     outcome: task::Outcome::Done(number(7)),
                     ran_us: 1,
@@ -69,7 +69,7 @@
             Order::Resolve(asked) => {
                 for attempt in asked {
                     self.resolved.lock().unwrap().push(attempt.id.clone());
-                    self.tell(Notice::Standing(attempt, ledger::TaskState::Withdrawn));
+                    self.send(Notice::Standing(attempt, ledger::TaskState::Withdrawn));
                 }
             }
             _ => {}
@@ -81,23 +81,26 @@
     RawValue::from_string(n.to_string()).unwrap()
 }
 
-/// Binds a fake agent and writes its row.
-async fn fake_agent(memory: &MemoryPlatform, first: First) -> (link::Server, Arc<Fake>) {
-    let fake: Arc<Fake> = Arc::default();
-    let (greeting, taking) = (fake.clone(), fake.clone());
+/// Binds a fake agent with four slots and writes its row.
+async fn fake_agent(
+    memory: &MemoryPlatform,
+    fault: FirstLinkFault,
+) -> (link::Server, Arc<FakeAgent>) {
+    let fake: Arc<FakeAgent> = Arc::default();
+    let (greet_fake, take_fake) = (fake.clone(), fake.clone());
     let service = link::Service {
         greet: Arc::new(move |hello: agent::Hello, tx: link::Sender<Notice>| {
-            let number = greeting.links.fetch_add(1, Ordering::SeqCst) + 1;
-            if number > 1 || first == First::Deaf {
+            let number = greet_fake.links_opened.fetch_add(1, Ordering::SeqCst) + 1;
+            if number > 1 || fault == FirstLinkFault::NothingReceived {
                 let _ = tx.send(Notice::Welcome(notice::Welcome {
                     incarnation: 3,
                     failure_domain: "northam".into(),
                     rack: "rack-0".into(),
                     tasks: Vec::new(),
                 }));
-                tokio::spawn(beat(tx.clone(), || Notice::Heartbeat));
+                tokio::spawn(send_heartbeats(tx.clone(), || Notice::Heartbeat));
             }
-            *greeting.current.lock().unwrap() = Some(tx);
+            *greet_fake.current_tx.lock().unwrap() = Some(tx);
             let received = if number > 1 { u64::MAX } else { 0 };
             Arc::new(move |notices| agent::Up {
                 notices,
@@ -112,12 +115,14 @@
         sent: Arc::new(|_, _| {}),
         weigh: |_| 1,
         take: Arc::new(move |down: agent::Down| {
-            if taking.links.load(Ordering::SeqCst) > 1 {
-                down.orders.into_iter().for_each(|order| taking.obey(order));
+            if take_fake.links_opened.load(Ordering::SeqCst) > 1 {
+                down.orders
+                    .into_iter()
+                    .for_each(|order| take_fake.handle_order(order));
             }
         }),
     };
-    let server = link::bind(path::any(), service).await.unwrap();
+    let server = link::bind(path::any_port(), service).await.unwrap();
     let row = rows::Agent {
         incarnation: 3,
         addr: server.addr().to_compact_string(),
@@ -128,7 +133,7 @@
     (server, fake)
 }
 
-async fn beat<T>(tx: link::Sender<T>, item: impl Fn() -> T) {
+async fn send_heartbeats<T>(tx: link::Sender<T>, item: impl Fn() -> T) {
     while tx.send(item()).is_ok() {
         tokio::time::sleep(HEARTBEAT).await;
     }
@@ -156,55 +161,55 @@
     answer.status.as_u16()
 }
 
-/// A job hangs although its worker shows as up.
-/// Something between owner and agent has lost the connection in the owner's direction only: the
-/// agent's heartbeats come, every start vanishes. The owner saw a living link and waited for ever.
+/// Guards against a job that hangs although its agent is shown as up. The connection is lost only
+/// from owner to agent: the agent's heartbeats arrive, but no start does. An owner that counted
+/// such a link as alive waited for ever.
 #[test]
-fn starts_that_vanish_are_noticed_and_asked_for_on_a_new_link() {
+fn starts_that_do_not_arrive_are_resolved_on_a_new_link() {
     support::block_on(async {
         let memory = MemoryPlatform::open();
-        let (_server, fake) = fake_agent(&memory, First::Deaf).await;
+        let (_server, fake) = fake_agent(&memory, FirstLinkFault::NothingReceived).await;
         let entry = open_entry(&memory).await;
         support::until("slots", || entry.usable_slots() == 4).await;
         assert_eq!(submit(entry.http_addr()).await, 200);
-        assert_eq!(fake.links.load(Ordering::SeqCst), 2);
-        assert_eq!(fake.resolved.lock().unwrap().len(), 1, "asked by key");
+        assert_eq!(fake.links_opened.load(Ordering::SeqCst), 2);
+        assert_eq!(fake.resolved.lock().unwrap().len(), 1, "resolved once");
         assert_eq!(fake.started.load(Ordering::SeqCst), 1);
     });
 }
 
-/// A worker is never used although its agent runs.
-/// The link went silent between the owner's hello and the agent's welcome. The owner kept the
-/// connection's sending half beside the link until the welcome, so nothing ever closed it.
+/// Guards against a backend server that is never used although its agent runs. The link goes silent
+/// between the owner's hello and the agent's welcome. Until the welcome the owner holds the
+/// connection's sending half outside of the link, where nothing closed it.
 #[test]
 fn link_whose_welcome_is_lost_is_replaced() {
     support::block_on(async {
         let memory = MemoryPlatform::open();
-        let (_server, fake) = fake_agent(&memory, First::Mute).await;
+        let (_server, fake) = fake_agent(&memory, FirstLinkFault::NothingSent).await;
         let entry = open_entry(&memory).await;
         support::until("slots", || entry.usable_slots() == 4).await;
-        assert_eq!(fake.links.load(Ordering::SeqCst), 2);
+        assert_eq!(fake.links_opened.load(Ordering::SeqCst), 2);
         assert_eq!(submit(entry.http_addr()).await, 200);
     });
 }
 
-/// Callers of one entry get no answers, those of another do.
-/// The link between the entry and the owner is dead in the entry's direction: the owner's
-/// heartbeats come, submissions that are passed on vanish. The entry waited for their endings.
+/// Guards against callers of one entry that get no answers while those of another entry do.
+/// The link loses all messages from the entry to the owner: the owner's heartbeats arrive, but no
+/// submission that is passed on does. The entry waited for their endings.
 #[test]
-fn submissions_that_vanish_are_passed_on_again() {
+fn submissions_that_do_not_arrive_are_passed_on_again() {
     support::block_on(async {
         let memory = MemoryPlatform::open();
         let links: Arc<AtomicU64> = Arc::default();
         let passed: Arc<AtomicU64> = Arc::default();
-        let current: Arc<Mutex<Option<link::Sender<Returned>>>> = Arc::default();
-        let (greeting, counting) = (current.clone(), links.clone());
-        let (taking, seeing, passing) = (current, links.clone(), passed.clone());
+        let current_tx: Arc<Mutex<Option<link::Sender<Returned>>>> = Arc::default();
+        let (greet_tx, greet_links) = (current_tx.clone(), links.clone());
+        let (take_tx, take_links, take_passed) = (current_tx, links.clone(), passed.clone());
         let service = link::Service {
             greet: Arc::new(move |hello: peer::Hello, tx: link::Sender<Returned>| {
-                let number = counting.fetch_add(1, Ordering::SeqCst) + 1;
-                tokio::spawn(beat(tx.clone(), || Returned::Heartbeat));
-                *greeting.lock().unwrap() = Some(tx);
+                let number = greet_links.fetch_add(1, Ordering::SeqCst) + 1;
+                tokio::spawn(send_heartbeats(tx.clone(), || Returned::Heartbeat));
+                *greet_tx.lock().unwrap() = Some(tx);
                 Arc::new(move |items| peer::Up {
                     entry: "owner".into(),
                     link: hello.link,
@@ -221,16 +226,16 @@
                     let Passed::Submit(seq, _) = item else {
                         continue;
                     };
-                    passing.fetch_add(1, Ordering::SeqCst);
-                    if seeing.load(Ordering::SeqCst) > 1 {
+                    take_passed.fetch_add(1, Ordering::SeqCst);
+                    if take_links.load(Ordering::SeqCst) > 1 {
                         let ending = Arc::new(submission::Ending::Complete(vec![number(7)]));
-                        let tx = taking.lock().unwrap().clone().unwrap();
+                        let tx = take_tx.lock().unwrap().clone().unwrap();
                         let _ = tx.send(Returned::Ending(seq, ending));
                     }
                 }
             }),
         };
-        let owner = link::bind(path::any(), service).await.unwrap();
+        let owner = link::bind(path::any_port(), service).await.unwrap();
         let row = rows::Owner {
             entry: "owner".into(),
             incarnation: 1,
--- a/tests/filters_table.rs
+++ b/tests/filters_table.rs
@@ -1,4 +1,5 @@
-//! The filter chain, a case a line: what comes in, and what it is refused with.
+//! The filter chain as a table of cases: a submission, and the code with which it is refused, if
+//! any.
 
 use std::sync::Arc;
 
@@ -38,7 +39,7 @@
     }
 }
 
-fn code(cx: &Context, draft: Draft) -> Option<Code> {
+fn refusal_code(cx: &Context, draft: Draft) -> Option<Code> {
     let refusal = filter::pass(cx, draft).err()?;
     assert!(refusal.not_run && !refusal.unknown, "{refusal:?}");
     Some(refusal.code)
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn jobs() {
+fn jobs_pass_or_get_the_code_of_their_mistake() {
     let kind = "k".repeat(65);
     let cases = [
         ("one task", job(r#"{"input":1}"#), None),
@@ -150,13 +151,13 @@
         ),
     ];
     for (name, body, expected) in cases {
-        let found = code(&context(), draft(Kind::Job, Some("trip-1"), &body));
+        let found = refusal_code(&context(), draft(Kind::Job, Some("trip-1"), &body));
         assert_eq!(found, expected, "{name}: {body}");
     }
 }
 
 #[test]
-fn requests() {
+fn requests_pass_or_get_the_code_of_their_mistake() {
     let cases = [
         ("not idempotent, with a key", Some("a"), request(""), None),
         (
@@ -191,13 +192,13 @@
         ),
     ];
     for (name, key, body, expected) in cases {
-        let found = code(&context(), draft(Kind::Request, key, &body));
+        let found = refusal_code(&context(), draft(Kind::Request, key, &body));
         assert_eq!(found, expected, "{name}: {body}");
     }
 }
 
 #[test]
-fn keys() {
+fn keys_pass_or_are_refused_by_their_form() {
     let (longest, longer) = ("k".repeat(128), "k".repeat(129));
     let cases = [
         (Some("0193b3c2-7a1e-7cc0-8000-0123456789ab"), None),
@@ -211,14 +212,15 @@
         (None, Some(Code::KeyMissing)),
     ];
     for (key, expected) in cases {
-        let found = code(&context(), draft(Kind::Job, key, &job(r#"{"input":1}"#)));
+        let found = refusal_code(&context(), draft(Kind::Job, key, &job(r#"{"input":1}"#)));
         assert_eq!(found, expected, "{key:?}");
     }
 }
 
-/// Whatever else is wrong with it, a submission to an entry that can't take any is sent elsewhere.
+/// An entry that drains or has no configuration refuses every submission with a time to retry
+/// after, even one with another mistake, so that the caller tries another entry.
 #[test]
-fn entries_that_take_nothing() {
+fn draining_and_unconfigured_entries_refuse_every_submission() {
     let unconfigured = Context {
         config: None,
         ..context()
@@ -246,9 +248,10 @@
     }
 }
 
-/// The message names the place, so that a caller needs no second look at a long job.
+/// The message names the task and the field, so that the caller needn't search a long job for the
+/// mistake.
 #[test]
-fn refusals_name_the_place() {
+fn refusals_name_the_task_and_field() {
     let body = job(r#"{"input":1},{"input":1,"run_ms":600001}"#);
     let refused = filter::pass(&context(), draft(Kind::Job, Some("a"), &body));
     let message = refused.expect_err("out of range").message;
--- a/tests/formats/live.rs
+++ b/tests/formats/live.rs
@@ -29,7 +29,7 @@
         weigh: |_: &Value| 1,
     };
     let (closed, lines) = support::block_on(async {
-        let server = link::bind(path::any(), service).await.unwrap();
+        let server = link::bind(path::any_port(), service).await.unwrap();
         let spy = record::Spy::open(server.addr());
         let (items, rx) = mpsc::unbounded_channel();
         items.send(json!("item")).unwrap();
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,4 +1,4 @@
-//! The binaries as plain processes, each test with its own, on free ports of loopback.
+//! Runs the binaries as plain processes on free loopback ports; each test starts its own.
 
 mod path;
 mod support;
--- a/tests/processes/path.rs
+++ b/tests/processes/path.rs
@@ -1,7 +1,8 @@
-//! The binaries as plain processes: a job, a request, a cancellation, a change, a drain.
+//! A system of separate processes serves a job, a request, a cancellation, a change of the
+//! configuration, a measured load and a drain.
 
 use crate::support::{
-    file, run, spawn_cli, start, until, Process, Ran, AGENT, CLI, ENTRY, STANDIN,
+    run, spawn_cli, start, until, write_file, CommandResult, Process, AGENT, CLI, ENTRY, STANDIN,
 };
 use serde_json::Value;
 
@@ -10,18 +11,19 @@
     include_str!("../../docs/examples/trilha.toml")
 );
 
-/// The whole system, each part a process of its own.
+/// The whole system; each part is a process of its own.
 struct System {
     entries: Vec<Process>,
-    workers: Vec<(Process, Process)>,
+    /// Agents, each with its backend server.
+    nodes: Vec<(Process, Process)>,
     _platform: Process,
 }
 
-fn open() -> System {
+fn start_system() -> System {
     let platform = start(STANDIN, &["platform", "--addr", "127.0.0.1:0"]);
     let addr = platform.addr("http");
     let any = "127.0.0.1:0";
-    let worker = |n: u32| {
+    let node = |n: u32| {
         let id = format!("agent-{n}");
         let agent = start(
             AGENT,
@@ -59,12 +61,12 @@
     };
     System {
         entries: (0..2).map(entry).collect(),
-        workers: (0..2).map(worker).collect(),
+        nodes: (0..2).map(node).collect(),
         _platform: platform,
     }
 }
 
-fn cli(args: &[&str]) -> Ran {
+fn cli(args: &[&str]) -> CommandResult {
     run(CLI, args)
 }
 
@@ -73,16 +75,16 @@
     serde_json::from_str(&ran.stdout).unwrap_or_default()
 }
 
-/// Two tasks that take `ms`.
+/// Writes a job of two tasks that each take `ms` milliseconds; returns the path of its file.
 fn job(name: &str, ms: u64) -> String {
     let task = |value: u64| serde_json::json!({"run_ms": ms, "input": {"ms": ms, "value": value}});
     let body = serde_json::json!({
         "customer": "harbour", "class": "check", "tasks": [task(1), task(2)],
     });
-    file(name, body.to_string())
+    write_file(name, body.to_string())
 }
 
-fn values(ran: &Ran) -> Vec<u64> {
+fn values(ran: &CommandResult) -> Vec<u64> {
     assert_eq!(ran.code, Some(0), "{ran:?}");
     let answer: Value = serde_json::from_str(&ran.stdout).expect("an answer is JSON");
     let answers = answer["answers"].as_array().expect("a job has answers");
@@ -95,12 +97,12 @@
 }
 
 #[test]
-fn a_whole_life_in_processes() {
-    let mut system = open();
+fn system_of_processes_serves_until_its_owner_drains() {
+    let mut system = start_system();
     let addrs: Vec<String> = system.entries.iter().map(|e| e.addr("http")).collect();
     let (first, second) = (addrs[0].as_str(), addrs[1].as_str());
 
-    // Nothing is served before there is a configuration.
+    // Submissions are refused before there is a configuration.
     let early = cli(&["submit", "--entry", first, &job("early.json", 1)]);
     assert_eq!(early.code, Some(1), "{early:?}");
     assert!(
@@ -108,7 +110,7 @@
         "{early:?}"
     );
 
-    let config = file("path.toml", CONFIG);
+    let config = write_file("path.toml", CONFIG);
     let set = cli(&["config", "set", "--entry", first, &config]);
     assert_eq!(set.code, Some(0), "{set:?}");
     assert!(set.stdout.contains("accepted as version 1"), "{set:?}");
@@ -122,7 +124,7 @@
         has_slots(first) || has_slots(second)
     });
 
-    // A job comes back whole, and again under its key.
+    // A job is answered whole, and a second submission under its key gets the same answer.
     let file = job("job.json", 30);
     let args = ["submit", "--entry", first, "--key", "trip-1", &file];
     let whole = cli(&args);
@@ -133,20 +135,20 @@
     let reused = cli(&["submit", "--entry", first, "--key", "trip-1", &other]);
     assert!(reused.stderr.contains("LM1004"), "{reused:?}");
 
-    requests(first);
-    cancels(first, second);
-    changes(first, second);
-    loads(&system, &addrs);
-    drains(&mut system, &addrs);
+    check_requests(first);
+    check_cancellation(first, second);
+    check_config_change(first, second);
+    check_load_report(&system, &addrs);
+    check_drain(&mut system, &addrs);
 }
 
-fn requests(entry: &str) {
+fn check_requests(entry: &str) {
     let body = r#"{"customer":"harbour","class":"check","idempotent":false,
         "input":{"ms":10,"value":7}}"#;
-    let request = file("request.json", body);
+    let request = write_file("request.json", body);
     let args = ["request", "--entry", entry, "--key", "approve-1", &request];
     assert_eq!(values(&cli(&args)), [7]);
-    let broken = file("broken.json", "{");
+    let broken = write_file("broken.json", "{");
     let refused = cli(&["request", "--entry", entry, &broken]);
     assert_eq!(refused.code, Some(1), "{refused:?}");
     assert!(refused.stderr.contains("LM1001"), "{refused:?}");
@@ -154,10 +156,10 @@
     assert_eq!(refused.stderr.matches("[lovagemill error]:").count(), 1);
 }
 
-fn cancels(first: &str, second: &str) {
+fn check_cancellation(first: &str, second: &str) {
     let long = job("long.json", 15_000);
     let mut running = spawn_cli(&["submit", "--entry", first, "--key", "trip-2", &long]);
-    running.key();
+    running.wait_for_key();
     let cancel = || {
         cli(&[
             "cancel",
@@ -168,21 +170,21 @@
             "trip-2",
         ])
     };
-    // Until the submission has arrived there is nothing to cancel.
-    let mut tries = Vec::new();
+    // A cancellation that comes before the submission finds no job.
+    let mut attempts = Vec::new();
     until("the job is cancelled or has ended", || {
-        tries.push(cancel());
-        tries.last().is_some_and(|ran| ran.code == Some(0)) || running.has_ended()
+        attempts.push(cancel());
+        attempts.last().is_some_and(|ran| ran.code == Some(0)) || running.has_ended()
     });
     let ended = running.finish();
-    let last = tries.last().expect("it was tried");
+    let last = attempts.last().expect("it was attempted");
     assert_eq!(last.code, Some(0), "{last:?}, {ended:?}");
     assert_eq!(ended.code, Some(1), "{ended:?}");
     assert!(ended.stderr.contains("LM3005"), "{ended:?}");
 }
 
-fn changes(first: &str, second: &str) {
-    let wider = file(
+fn check_config_change(first: &str, second: &str) {
+    let wider = write_file(
         "wider.toml",
         CONFIG.replace("max_tasks = 8", "max_tasks = 9"),
     );
@@ -203,12 +205,9 @@
     );
 }
 
-/// The starts are counted in the backend servers' processes and meet in the report.
-fn loads(system: &System, addrs: &[String]) {
-    let backends = system
-        .workers
-        .iter()
-        .map(|(_, backend)| backend.addr("http"));
+/// The load report sums up the starts that were counted in the backend servers' processes.
+fn check_load_report(system: &System, addrs: &[String]) {
+    let backends = system.nodes.iter().map(|(_, backend)| backend.addr("http"));
     let backends: Vec<String> = backends.collect();
     let (entries, backends) = (addrs.join(","), backends.join(","));
     let args = ["load", "--json", "--seconds", "1", "--slots", "8"];
@@ -225,8 +224,8 @@
     assert!(report["started_twice"].is_null(), "{report}");
 }
 
-/// A planned stop of the owner cuts off nothing, and the other entry goes on.
-fn drains(system: &mut System, addrs: &[String]) {
+/// A drain of the owner cuts off no job, and the other entry serves on.
+fn check_drain(system: &mut System, addrs: &[String]) {
     let owns = |entry: &str| status(entry)["cells"][0]["owned"].is_object();
     let owner = usize::from(owns(&addrs[1]));
     let (leaving, staying) = (addrs[owner].as_str(), addrs[1 - owner].as_str());
@@ -236,7 +235,7 @@
     let drain = cli(&["drain", "--entry", leaving]);
     assert_eq!(drain.code, Some(0), "{drain:?}");
     assert_eq!(values(&running.finish()), [1, 2]);
-    assert!(system.entries[owner].ended());
+    assert!(system.entries[owner].wait_for_exit());
     let gone = cli(&["status", "--entry", leaving]);
     assert!(gone.stderr.contains("LM6005"), "{gone:?}");
     let after = cli(&["submit", "--entry", staying, "--key", "trip-4", &file]);
--- a/tests/processes/support.rs
+++ b/tests/processes/support.rs
@@ -1,24 +1,24 @@
-//! Starts our own binaries on free ports and ends them, and only them.
+//! Starts this project's binaries on free ports, and ends only processes that it started.
 
 use std::io::{BufRead, BufReader, Read};
 use std::process::{Child, ChildStderr, Command, Output, Stdio};
 use std::sync::mpsc;
 use std::{thread, time};
 
-/// Ends a hang; no verdict depends on it.
+/// Longest wait for anything; it only ends a hang, and no result depends on it.
 pub const HANG: time::Duration = time::Duration::from_secs(60);
 
-/// The binaries.
+/// The paths of the binaries under test.
 pub const CLI: &str = env!("CARGO_BIN_EXE_lovagemill");
 pub const ENTRY: &str = env!("CARGO_BIN_EXE_lovagemill-entry");
 pub const AGENT: &str = env!("CARGO_BIN_EXE_lovagemill-agent");
 pub const STANDIN: &str = env!("CARGO_BIN_EXE_lovagemill-standin");
 
-/// A child that is killed when the test ends, however it ends.
+/// A child process that is killed when it is dropped, so also when the test fails.
 pub struct Process {
     child: Child,
-    /// The log line that tells the bound addresses.
-    listens: String,
+    /// The log line that holds the bound addresses.
+    listens_line: String,
 }
 
 impl Drop for Process {
@@ -46,17 +46,18 @@
     let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
     let stderr = child.stderr.take().expect("stderr is piped");
     let (tx, rx) = mpsc::channel();
-    thread::spawn(move || read(stderr, &tx));
+    thread::spawn(move || read_log(stderr, &tx));
     let mut process = Process {
         child,
-        listens: String::new(),
+        listens_line: String::new(),
     };
-    process.listens = rx.recv_timeout(HANG).expect("it listens");
+    process.listens_line = rx.recv_timeout(HANG).expect("it listens");
     process
 }
 
-/// Passes the line that tells the addresses, and reads the rest so that the child never blocks.
-fn read(stderr: ChildStderr, tx: &mpsc::Sender<String>) {
+/// Sends the line that holds the bound addresses, and reads the rest so that the child never
+/// blocks.
+fn read_log(stderr: ChildStderr, tx: &mpsc::Sender<String>) {
     let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
     if let Some(line) = lines.find(|line| line.contains("listens:")) {
         let _ = tx.send(line);
@@ -65,17 +66,18 @@
 }
 
 impl Process {
-    /// A bound address, by the name that the log line gives it.
+    /// The bound address with the given name in the log line, such as `http`.
     pub fn addr(&self, name: &str) -> String {
-        let line: serde_json::Value = serde_json::from_str(&self.listens).expect("logs are JSON");
+        let line: serde_json::Value =
+            serde_json::from_str(&self.listens_line).expect("logs are JSON");
         let message = line["message"].as_str().expect("a line has a message");
         let prefix = format!("{name}=");
         let found = message.split(' ').find_map(|s| s.strip_prefix(&prefix));
-        found.expect("the address is told").to_owned()
+        found.expect("the line holds the address").to_owned()
     }
 
-    /// Waits until the process has ended by itself; tells whether it ended well.
-    pub fn ended(&mut self) -> bool {
+    /// Waits until the process has exited by itself; tells whether it exited with success.
+    pub fn wait_for_exit(&mut self) -> bool {
         let deadline = time::Instant::now() + HANG;
         while time::Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().expect("the child is ours") {
@@ -89,26 +91,26 @@
 
 /// What a command printed and how it exited.
 #[derive(Debug)]
-pub struct Ran {
+pub struct CommandResult {
     pub code: Option<i32>,
     pub stdout: String,
     pub stderr: String,
 }
 
 /// Runs a command to its end.
-pub fn run(binary: &str, args: &[&str]) -> Ran {
-    ran(command(binary, args).output().expect("it starts"))
+pub fn run(binary: &str, args: &[&str]) -> CommandResult {
+    command_result(command(binary, args).output().expect("it starts"))
 }
 
-fn ran(output: Output) -> Ran {
-    Ran {
+fn command_result(output: Output) -> CommandResult {
+    CommandResult {
         code: output.status.code(),
         stdout: String::from_utf8_lossy(&output.stdout).into_owned(),
         stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
     }
 }
 
-/// Runs a command line in the background.
+/// Runs the command-line binary in the background.
 pub fn spawn_cli(args: &[&str]) -> Running {
     let mut command = command(CLI, args);
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -121,7 +123,7 @@
 impl Running {
     /// Waits for the first line on standard error: the submission key, printed before the body
     /// is sent.
-    pub fn key(&mut self) -> String {
+    pub fn wait_for_key(&mut self) -> String {
         let stderr = self.0.stderr.as_mut().expect("stderr is piped");
         let mut line = Vec::new();
         let mut byte = [0];
@@ -131,18 +133,18 @@
         String::from_utf8_lossy(&line).into_owned()
     }
 
-    /// Tells whether it has ended.
+    /// Tells whether the command has ended.
     pub fn has_ended(&mut self) -> bool {
         self.0.try_wait().expect("its state can be asked").is_some()
     }
 
-    /// Waits for its end.
-    pub fn finish(self) -> Ran {
-        ran(self.0.wait_with_output().expect("it ends"))
+    /// Waits until the command ends, and returns its result.
+    pub fn finish(self) -> CommandResult {
+        command_result(self.0.wait_with_output().expect("it ends"))
     }
 }
 
-/// Tries again until `holds`, as what it asks about spreads through the system.
+/// Repeats `holds` until it returns true, since a change takes time to reach all processes.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = time::Instant::now() + HANG;
     while !holds() {
@@ -151,8 +153,8 @@
     }
 }
 
-/// A file of this test's process, under the build's own directory.
-pub fn file(name: &str, content: impl AsRef<[u8]>) -> String {
+/// Writes a file for this test's process under the build directory; returns its path.
+pub fn write_file(name: &str, content: impl AsRef<[u8]>) -> String {
     let name = format!("{}-{name}", std::process::id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, content).expect("the file can be written");
--- a/tests/processes/traces.rs
+++ b/tests/processes/traces.rs
@@ -1,11 +1,11 @@
-//! A trace over the whole path, in processes: the spans that an OTLP receiver gets.
+//! A trace over the whole path of separate processes: checks the spans that an OTLP receiver gets.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time;
 
-use crate::support::{file, run, start, until, Process, AGENT, CLI, ENTRY, STANDIN};
+use crate::support::{run, start, until, write_file, Process, AGENT, CLI, ENTRY, STANDIN};
 use gotham::hyper::StatusCode;
 use gotham::mime;
 use hyper::Method;
@@ -18,14 +18,17 @@
 
 const CONFIG: &str = "[[class]]\nname = \"check\"\ntarget_ms = 20000\n";
 
-const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
+/// The id of the caller's trace.
+const TRACE_ID: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 
-const CALLER: &str = "00f067aa0ba902b7";
+/// The id of the caller's span.
+const CALLER_SPAN_ID: &str = "00f067aa0ba902b7";
 
 /// How long a task runs at the backend server.
-const RUN: time::Duration = time::Duration::from_millis(60);
+const RUN_TIME: time::Duration = time::Duration::from_millis(60);
 
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Longest wait for an HTTP call.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 type Spans = Arc<Mutex<Vec<Span>>>;
 
@@ -33,19 +36,19 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Receives OTLP and keeps the spans.
-async fn receiver(spans: Spans) -> server::Server {
+/// Opens an OTLP receiver that adds each span it gets to `spans`.
+async fn open_receiver(spans: Spans) -> server::Server {
     let handler = move |incoming: Incoming| {
         let spans = spans.clone();
         async move {
-            let right = incoming.uri.path() == "/v1/traces";
+            let is_traces = incoming.uri.path() == "/v1/traces";
             let body = incoming.read(1 << 24).await.expect("a whole body");
             let request = ExportTraceServiceRequest::decode(body).expect("OTLP");
             let scopes = request
                 .resource_spans
                 .into_iter()
                 .flat_map(|r| r.scope_spans);
-            let got = scopes.flat_map(|scope| scope.spans).filter(|_| right);
+            let got = scopes.flat_map(|scope| scope.spans).filter(|_| is_traces);
             spans.lock().expect("spans").extend(got);
             Reply::bytes(StatusCode::OK, mime::APPLICATION_OCTET_STREAM, "")
         }
@@ -53,21 +56,24 @@
     server::bind(any(), handler).await.expect("it binds")
 }
 
-/// A backend server that notes the `traceparent` of every run.
-async fn backend(seen: Arc<Mutex<Vec<String>>>) -> server::Server {
+/// Opens a backend server that records the `traceparent` of each run.
+async fn open_backend(received_parents: Arc<Mutex<Vec<String>>>) -> server::Server {
     let handler = move |incoming: Incoming| {
-        let seen = seen.clone();
+        let received_parents = received_parents.clone();
         async move {
             let parent = incoming.header("traceparent").unwrap_or_default();
-            seen.lock().expect("seen").push(parent.to_owned());
-            tokio::time::sleep(RUN).await;
+            received_parents
+                .lock()
+                .expect("not poisoned")
+                .push(parent.to_owned());
+            tokio::time::sleep(RUN_TIME).await;
             Reply::json(StatusCode::OK, &"done")
         }
     };
     server::bind(any(), handler).await.expect("it binds")
 }
 
-/// Announces a backend server with one slot, every second, until the test ends.
+/// Announces a backend server with one slot each second until the test ends.
 fn announce(agent: &str, addr: SocketAddr) {
     let client = http::open(1 << 16);
     let uri = format!("http://{agent}/v1/announce");
@@ -82,7 +88,10 @@
         loop {
             let body = serde_json::to_vec(&announcement).expect("JSON");
             let _ = client
-                .call(http::Call::new(Method::POST, uri.clone(), body), LIMIT)
+                .call(
+                    http::Call::new(Method::POST, uri.clone(), body),
+                    CALL_TIMEOUT,
+                )
                 .await;
             tokio::time::sleep(time::Duration::from_secs(1)).await;
         }
@@ -109,8 +118,8 @@
     serde_json::from_str(&ran.stdout).unwrap_or_default()
 }
 
-/// Waits until one entry has the slot and the other knows it; returns the other, so that
-/// submissions are passed on.
+/// Waits until one entry owns the cell with the slot and the other entry knows the owner; returns
+/// the other, which passes submissions on.
 fn other_than_owner(entries: &[String; 2]) -> &str {
     let owns = |entry: &String| status(entry)["cells"][0]["owned"]["slots"] == 1;
     let knows_owner = |entry: &str| {
@@ -136,21 +145,22 @@
         .header("idempotency-key", key)
         .header("traceparent", traceparent);
     let answer = http::open(1 << 20)
-        .call(call, LIMIT)
+        .call(call, CALL_TIMEOUT)
         .await
         .expect("answered");
     assert!(answer.status.is_success(), "{answer:?}");
 }
 
-/// A job of two tasks for one slot is submitted at an entry that doesn't own its cell. A person
-/// who looks at the trace must find each hop below the one before it, and must see that one task
-/// waited for the other in the owner's queue. The trace must reach the backend server, too.
+/// Guards against a trace that misses a hop or doesn't show where a job waited.
+/// A job of two tasks for one slot is submitted at an entry that doesn't own its cell. In the trace
+/// each hop's span must be a child of the hop before it, and one task must show its wait for the
+/// other in the owner's queue. The trace must reach the backend server, too.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_trace_shows_every_hop_and_where_it_waited() {
+async fn trace_shows_every_hop_and_its_waits() {
     let spans = Spans::default();
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let receiver = receiver(spans.clone()).await;
-    let backend = backend(seen.clone()).await;
+    let received_parents = Arc::new(Mutex::new(Vec::new()));
+    let receiver = open_receiver(spans.clone()).await;
+    let backend = open_backend(received_parents.clone()).await;
     let otlp = format!("http://{}", receiver.addr());
     let platform = start(STANDIN, &["platform", "--addr", "127.0.0.1:0"]);
     let platform = (platform.addr("http"), platform);
@@ -161,19 +171,19 @@
     announce(&agent.addr("announce"), backend.addr());
     let entries = [1, 2].map(|n| entry(&format!("entry-{n}"), &platform.0, &otlp));
     let addrs = [entries[0].addr("http"), entries[1].addr("http")];
-    let config = file("traces.toml", CONFIG);
+    let config = write_file("traces.toml", CONFIG);
     let set = run(CLI, &["config", "set", "--entry", &addrs[0], &config]);
     assert_eq!(set.code, Some(0), "{set:?}");
-    let at = other_than_owner(&addrs);
+    let non_owner = other_than_owner(&addrs);
 
-    let caller = format!("00-{TRACE}-{CALLER}-01");
-    // A key that doesn't tell its age, so that the claim is waited for.
-    submit(at, "trip-1", 2, &caller).await;
-    // A caller that doesn't record its trace gets no spans from us, and its header goes through.
-    let unrecorded = format!("00-{TRACE}-{CALLER}-00");
-    submit(at, "trip-2", 1, &unrecorded).await;
+    let caller = format!("00-{TRACE_ID}-{CALLER_SPAN_ID}-01");
+    // A key that holds no time, so that the job waits for its claim.
+    submit(non_owner, "trip-1", 2, &caller).await;
+    // A caller whose trace isn't recorded gets no spans, and its header is passed through as sent.
+    let unrecorded = format!("00-{TRACE_ID}-{CALLER_SPAN_ID}-00");
+    submit(non_owner, "trip-2", 1, &unrecorded).await;
 
-    // Those of entry, owner and claim, and five for each of the two tasks.
+    // One span each of entry, owner and claim wait, and five for each of the two tasks.
     let expected = 3 + 2 * 5;
     until("all spans are there", || {
         spans.lock().expect("spans").len() >= expected
@@ -181,17 +191,20 @@
     let spans = spans.lock().expect("spans").clone();
     assert_eq!(spans.len(), expected, "{spans:#?}");
     let trace = |span: &Span| hex(&span.trace_id);
-    assert!(spans.iter().all(|span| trace(span) == TRACE), "{spans:#?}");
+    assert!(
+        spans.iter().all(|span| trace(span) == TRACE_ID),
+        "{spans:#?}"
+    );
     check_parents(&spans);
     check_times(&spans);
-    let seen = seen.lock().expect("seen").clone();
+    let received_parents = received_parents.lock().expect("not poisoned").clone();
     let runs = named(&spans, "backend server");
-    let sent = |span: &&Span| format!("00-{TRACE}-{}-01", hex(&span.span_id));
-    let mut told: Vec<String> = runs.iter().map(sent).chain([unrecorded]).collect();
-    let mut seen = seen;
-    told.sort();
-    seen.sort();
-    assert_eq!(seen, told);
+    let sent = |span: &&Span| format!("00-{TRACE_ID}-{}-01", hex(&span.span_id));
+    let mut expected_parents: Vec<String> = runs.iter().map(sent).chain([unrecorded]).collect();
+    let mut received_parents = received_parents;
+    expected_parents.sort();
+    received_parents.sort();
+    assert_eq!(received_parents, expected_parents);
 }
 
 fn hex(id: &[u8]) -> String {
@@ -202,14 +215,14 @@
     spans.iter().filter(|span| span.name == name).collect()
 }
 
-/// Every hop stands below the one that called it.
+/// Checks that each span's parent is the span of the hop that called it.
 fn check_parents(spans: &[Span]) {
     let names: HashMap<String, &str> = spans
         .iter()
         .map(|span| (hex(&span.span_id), span.name.as_str()))
-        .chain([(CALLER.to_owned(), "caller")])
+        .chain([(CALLER_SPAN_ID.to_owned(), "caller")])
         .collect();
-    assert_eq!(names.len(), spans.len() + 1, "ids are told apart");
+    assert_eq!(names.len(), spans.len() + 1, "span ids are unique");
     let mut found: Vec<(&str, &str)> = spans
         .iter()
         .map(|span| {
@@ -236,7 +249,7 @@
     assert_eq!(found, expected);
 }
 
-/// What took long shows where it took long; these are bounds that hold on the slowest machine.
+/// Checks that each wait and run shows in its own span; the bounds hold on a machine of any speed.
 fn check_times(spans: &[Span]) {
     let took = |span: &&Span| {
         let nanos = span.end_time_unix_nano - span.start_time_unix_nano;
@@ -256,14 +269,14 @@
             .min()
             .expect("there is one")
     };
-    assert!(shortest("backend server") >= RUN);
-    assert!(shortest("agent") >= RUN);
+    assert!(shortest("backend server") >= RUN_TIME);
+    assert!(shortest("agent") >= RUN_TIME);
     assert!(
-        longest("queue wait") >= RUN,
+        longest("queue wait") >= RUN_TIME,
         "the second task waits for the first"
     );
-    assert!(longest("task") >= 2 * RUN);
-    assert!(shortest("owner") >= 2 * RUN);
-    assert!(shortest("entry") >= 2 * RUN);
+    assert!(longest("task") >= 2 * RUN_TIME);
+    assert!(shortest("owner") >= 2 * RUN_TIME);
+    assert!(shortest("entry") >= 2 * RUN_TIME);
     assert!(shortest("claim wait") > time::Duration::ZERO);
 }
--- a/tests/support/path.rs
+++ b/tests/support/path.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process over a platform in memory: one entry, one agent, one backend.
+//! The whole path in one process over a platform in memory: one entry, one agent and one backend
+//! server.
 
 use std::net;
 use std::sync::Arc;
@@ -18,24 +19,25 @@
 
 use super::memory::MemoryPlatform;
 
-/// The running parts.
-pub struct Path {
-    /// The entry.
+/// The running parts of the path.
+pub struct System {
+    /// The entry, named `entry-0`, which owns the only cell.
     pub entry: entry::Entry,
-    /// The agent.
+    /// The agent beside the backend server, named `agent-0`.
     pub agent: agent::Agent,
-    /// The backend server.
+    /// The stand-in backend server, with four slots.
     pub backend: backend::Backend,
-    /// What the backend server saw.
+    /// The record of the tasks that the backend server started.
     pub truth: Truth,
 }
 
-/// Any port of the loopback.
-pub fn any() -> net::SocketAddr {
+/// The loopback address with port 0, which binds any free port.
+pub fn any_port() -> net::SocketAddr {
     net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0))
 }
 
-/// A document with one class.
+/// A configuration document with the class `check` and a quota for the client account `york`;
+/// `target_ms` is the class's target in milliseconds.
 pub fn document(target_ms: i64) -> class::Document {
     class::Document {
         classes: vec![class::Class {
@@ -50,7 +52,7 @@
     }
 }
 
-/// Writes the first configuration.
+/// Writes the first configuration to the table, with a target of 20 s.
 pub fn configure(memory: &MemoryPlatform) {
     let first = class::Versioned {
         version: 1,
@@ -61,12 +63,12 @@
     memory.store.lock().unwrap().commit(&tx);
 }
 
-/// The settings of an entry.
+/// The settings of an entry in a system of one cell.
 pub fn entry_config(id: &str) -> entry::Config {
     entry::Config {
         id: id.into(),
-        http_addr: any(),
-        peer_addr: any(),
+        http_addr: any_port(),
+        peer_addr: any_port(),
         advertise: None,
         cells: 1,
         policy: owner::Policy::default(),
@@ -74,12 +76,12 @@
     }
 }
 
-/// The settings of an agent.
+/// The settings of an agent in a system of one cell.
 pub fn agent_config(id: &str) -> agent::Config {
     agent::Config {
         id: id.into(),
-        link_addr: any(),
-        announce_addr: any(),
+        link_addr: any_port(),
+        announce_addr: any_port(),
         advertise: None,
         failure_domain: "poa-centro".into(),
         rack: "rack-0".into(),
@@ -98,7 +100,7 @@
     let agent = agent::open(cfg, memory.platform(), messages).await.unwrap();
     let cfg = backend::Config {
         id: "backend-0".into(),
-        addr: any(),
+        addr: any_port(),
         agent: agent.announce_addr().to_compact_string(),
         slots: 4,
         connections: 4,
@@ -108,24 +110,24 @@
     (agent, backend)
 }
 
-/// Opens the parts and waits until work would be taken.
-pub async fn open(memory: &MemoryPlatform) -> Arc<Path> {
+/// Opens the parts and waits until the entry is ready and has the agent's four slots.
+pub async fn open(memory: &MemoryPlatform) -> Arc<System> {
     configure(memory);
     let truth = Truth::default();
     let (agent, backend) = open_agent(memory, &truth).await;
     let messages = count::Messages::default();
     let cfg = entry_config("entry-0");
     let entry = entry::open(cfg, memory.platform(), messages).await.unwrap();
-    let path = Arc::new(Path {
+    let system = Arc::new(System {
         entry,
         agent,
         backend,
         truth,
     });
-    let ready = path.clone();
+    let ready = system.clone();
     super::until("the path gets ready", move || {
         ready.entry.is_ready() && ready.entry.usable_slots() == 4
     })
     .await;
-    path
+    system
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process: callers, entries, agents, backend servers, on loopback.
+//! The whole path in one process, on loopback: callers, entries, agents and backend servers.
 
 use std::time;
 
@@ -6,7 +6,7 @@
 use lovagemill::demo;
 use lovagemill::demo::deployment;
 
-/// A short run of the demo's workload breaks no promise and answers every submission.
+/// A short run of the demo's workload violates no guarantee and answers every submission.
 #[tokio::test(flavor = "multi_thread")]
 async fn demo_answers_everything_once() {
     let cfg = demo::Config {
