--- a/src/filter/draining.rs
+++ b/src/filter/draining.rs
@@ -9,7 +9,7 @@
 /// Short, since the caller can try another entry at once.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(10);
 
-/// Passes a draft unless the entry drains, which refuses it with `Draining`.
+/// Passes a draft, or refuses it with `Draining` while the entry drains.
 pub fn filter(cx: &Context, draft: Draft) -> Result<Draft, Refusal> {
     if cx.draining {
         return Err(Refusal::new(code::Code::Draining).retry_after(RETRY_AFTER));
