--- a/src/controller/cell_state.rs
+++ b/src/controller/cell_state.rs
@@ -35,7 +35,7 @@
     /// The heartbeat of a suspected owner: the owner's epoch, the revision last seen, and when this
     /// revision was first seen.
     pub heartbeat_seen: Option<(id::Epoch, Revision, time::Instant)>,
-    /// Whether this entry has resigned and doesn't take the cell.
+    /// Whether this entry has resigned, so that it doesn't take the cell until it resumes.
     pub resigned: bool,
     /// The last epoch in which this entry owned the cell.
     pub last_epoch: Option<id::Epoch>,
--- a/src/controller/config.rs
+++ b/src/controller/config.rs
@@ -34,8 +34,8 @@
 /// Pause between reads that look for a change whose answer was lost.
 const RESOLVE_PAUSE: time::Duration = time::Duration::from_millis(300);
 
-/// How many of the latest changes the version's row lists, each with the random number of its
-/// writer.
+/// How many of the latest changes the version's row lists, each with the random number that was
+/// drawn for it.
 const MAX_KEPT_CHANGES: usize = 32;
 
 /// Number of reads that look for a change whose answer was lost.
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Tells whether the loop has to read the table after it woke up. It doesn't if a newer
-    /// document came from a peer and has still to be reported.
+    /// Tells whether the loop has to read the table after it woke up. If it woke up because a newer
+    /// document came from a peer, it only has to report that document.
     fn needs_read(&self, reported: id::Version) -> bool {
         let current = self.lock();
         current.is_behind() || current.version() == reported
@@ -160,9 +160,10 @@
     ///
     /// # Errors
     ///
-    /// Fails if the document has mistakes, if `base` isn't the newest version, or if the table
-    /// can't be reached. If the answer to the write was lost, reading the table shows whether the
-    /// change took effect; if it doesn't, the error says that this is unknown.
+    /// Fails if the document has mistakes, which are returned, if `base` isn't the newest version,
+    /// if another change was quicker, or if the table can't be reached. If the answer to the write
+    /// was lost, the table is read to find out whether the change took effect; if the reads don't
+    /// show it, the error says that this is unknown.
     pub async fn change(
         &self,
         base: id::Version,
@@ -193,7 +194,7 @@
             .await
             .map_err(without_mistakes)?
             .unwrap_or_default();
-        // 53 bits are the most that JSON numbers hold in other languages.
+        // 53 bits are the most that a JSON number holds exactly in other languages.
         let number = rand::random::<u64>() >> 11;
         head.version = next.version;
         head.changes.push((next.version, number));
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -72,29 +72,31 @@
     pub head_changed: Box<dyn Fn(&[platform::Row]) + Send + Sync>,
 }
 
-/// Keeps track of all cells for one entry, and owns some of them.
+/// What one entry knows of the ownership of all cells, and the loop that takes and keeps cells for
+/// it.
 pub struct Ownership {
     table: platform::Table,
     candidate: Candidate,
     cells: u16,
     events: Events,
     roll: roll::Roll,
-    /// The state of each cell; [`State`] describes it.
     states: Mutex<HashMap<id::Cell, State>>,
     cell_moves: Mutex<CellMoves>,
     /// The latest reads of the watched rows, by this entry and by others.
     watch_state: Mutex<head::WatchState>,
-    /// Pauses between attempts while the table fails.
+    /// Sets the pauses between attempts while the table fails.
     backoff: Mutex<backoff::Backoff>,
     /// Makes the loop check the cells at once.
     wake: Notify,
 }
 
-/// When this entry last took any cell, and when it last took one from an entry that owned too many,
-/// or first looked for such an entry.
+/// When this entry last took cells.
 #[derive(Debug, Default)]
 struct CellMoves {
+    /// When it last took any cell.
     taken_at: Option<time::Instant>,
+    /// When it last took a cell from an entry that owned too many; before the first time, when it
+    /// first found such an entry.
     pulled_at: Option<time::Instant>,
 }
 
@@ -212,7 +214,8 @@
         self.watch_state().known_digest(time::Instant::now())
     }
 
-    /// Runs the loop; never returns.
+    /// Checks the cells and writes heartbeats when they are due or when the loop is woken; never
+    /// returns.
     pub async fn run(self: Arc<Self>) {
         loop {
             let woken = tokio::time::timeout(self.next_due_in(), self.wake.notified()).await;
@@ -234,7 +237,7 @@
         soonest.map_or(read, |soonest| soonest.min(read))
     }
 
-    /// Tells whether a cell of another entry has to be checked again soon.
+    /// Tells whether a cell that this entry doesn't own has to be checked again soon.
     fn any_needs_recheck(&self) -> bool {
         let states = self.states.lock().expect("the ownership is whole");
         states
@@ -308,7 +311,7 @@
         answer
     }
 
-    /// Applies a function to the pauses for an outage of the table.
+    /// Applies a function to the backoff and returns its result.
     fn with_backoff<T>(&self, f: impl FnOnce(&mut backoff::Backoff) -> T) -> T {
         f(&mut self.backoff.lock().expect("the backoff is whole"))
     }
@@ -318,8 +321,8 @@
     }
 }
 
-/// Digests the keys and revisions of rows to 53 bits, the most that JSON numbers hold in other
-/// languages.
+/// Digests the keys and revisions of rows to 53 bits, the most that a JSON number holds exactly in
+/// other languages.
 fn rows_digest(rows: &[platform::Row]) -> head::Digest {
     let mut hasher = xxh3::Xxh3::new();
     for row in rows {
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns which entries are alive and which cells they own; empty with one cell, since then
-    /// there is nothing to spread.
+    /// there is nothing to spread, and if this entry has resigned, since then it takes none.
     pub(super) async fn holdings(&self, found: &[platform::Row]) -> spread::Holdings {
         if !self.has_several_cells() || self.update_state(0, |state| state.resigned) {
             return spread::Holdings::default();
@@ -52,7 +52,8 @@
         spread::Holdings::gather(&alive, owners.iter().map(|(cell, id)| (*cell, id)))
     }
 
-    /// Takes one cell from another entry that owns too many.
+    /// Takes one cell from another entry that owns too many, at most once in
+    /// [`spread::MIN_PULL_INTERVAL`].
     pub(super) async fn pull_cell(
         &self,
         holdings: &spread::Holdings,
@@ -116,8 +117,9 @@
                 cell,
                 epoch: owner.epoch,
                 revision,
-                // The answer to the write was lost, so it is unknown when this entry got the cell.
-                // The proof of ownership counts as too old to start work before its claims.
+                // If this ownership isn't known, the answer to the write was lost or the cell was
+                // forgotten, so it is unknown when this entry got it. The proof of ownership counts
+                // as too old to start work before its claims.
                 begun: now
                     .checked_sub(inherit::TABLE_CONTACT_WINDOW)
                     .unwrap_or(now),
@@ -148,8 +150,9 @@
         holdings.may_take(&self.candidate.entry, now, vacant_since, taken_at)
     }
 
-    /// Tells whether the owner of a cell is suspected and has to be replaced: at once if it refuses
-    /// connections, and if it is silent once its heartbeat is unchanged for [`SILENT_AFTER`].
+    /// Tells whether the owner of a cell is suspected and has to be replaced. One that refuses
+    /// connections is replaced at once, and one that is silent only after its heartbeat has stayed
+    /// unchanged for [`SILENT_AFTER`].
     pub(super) async fn is_owner_gone(&self, cell: id::Cell, epoch: id::Epoch) -> bool {
         let state = self.update_state(cell, |state| state.clone());
         match state.suspicion {
@@ -175,8 +178,8 @@
         }
     }
 
-    /// Takes a cell in the next epoch. Tells whether it certainly did; if not, the next check finds
-    /// out.
+    /// Takes a cell in the next epoch. Tells whether the table confirmed that; if not, the next
+    /// check finds out.
     pub(super) async fn take_cell(
         &self,
         cell: id::Cell,
@@ -199,9 +202,9 @@
         let mut tx = Transaction::put_if(&rows::cell(cell), revision, value);
         // The previous owner may start work before its claims are written while its last proof of
         // ownership is younger than [`inherit::TABLE_CONTACT_WINDOW`], and every proof changes its
-        // heartbeat. If the heartbeat was seen to be unchanged, that time counts from when it was
-        // first seen. The condition guards against a proof between the last read of the heartbeat
-        // and this write.
+        // heartbeat. If the heartbeat stayed unchanged for [`SILENT_AFTER`], the window counts from
+        // when its revision was first seen. The condition guards against a proof between the last
+        // read of the heartbeat and this write.
         let unchanged = self.unchanged_heartbeat(cell, epoch);
         tx.conditions
             .extend(unchanged.map(|(revision, _)| Condition {
--- a/src/controller/roll.rs
+++ b/src/controller/roll.rs
@@ -88,7 +88,7 @@
         let _ = (self.table.commit)(Transaction::remove([rows::entry(&self.entry)])).await;
     }
 
-    /// Records the rows read, and the time for those that have changed.
+    /// Records the revisions of the rows read; those that have changed count as changed now.
     fn record_rows(&self, found: &[platform::Row]) {
         let now = time::Instant::now();
         let mut inner = self.inner.lock().expect("the roll is whole");
--- a/src/decide/owner/admission.rs
+++ b/src/decide/owner/admission.rs
@@ -75,7 +75,8 @@
     /// # Errors
     ///
     /// Refuses a job of an unknown class, with a wrong number of tasks, with a task that no agent
-    /// could ever run, over its client account's quota, or that would end too late.
+    /// could ever run, over its client account's quota, with which more than [`MAX_WAITING_TASKS`]
+    /// would wait, or by which it or others of its client account would miss their targets.
     fn check_admission(
         &self,
         now: time::Instant,
@@ -123,9 +124,10 @@
         waiting == 0 && self.fleet.free_slots() as usize >= job.tasks.len()
     }
 
-    /// Estimates by how much the job, or other jobs of its client account because of it, would miss
-    /// their targets; zero if all would end in time. The caller should wait this long before it
-    /// submits the job again.
+    /// Estimates by how much the job would end after [`backlog::PLANNED_TARGET_SHARE`] of its
+    /// target, or because of it other jobs of its client account after their deadlines; zero if
+    /// none would or if no agent has slots. The caller should wait this long before it submits the
+    /// job again.
     fn expected_lateness(
         &self,
         now: time::Instant,
@@ -142,8 +144,8 @@
         let longest = work
             .longest
             .min(target.mul_f64(backlog::PLANNED_TARGET_SHARE / 2.0));
-        let share = self.demand.heavy_share(account);
-        if let (Some(rate), false) = (share, self.policy.queue == queue::Policy::Fifo) {
+        let slots_of_account = self.demand.heavy_share(account);
+        if let (Some(rate), false) = (slots_of_account, self.policy.queue == queue::Policy::Fifo) {
             let deadline = now + target;
             return self
                 .queue
--- a/src/decide/owner/agents.rs
+++ b/src/decide/owner/agents.rs
@@ -68,7 +68,9 @@
         self.dispatch(now);
     }
 
-    /// Handles a notice of an agent other than its welcome.
+    /// Handles an answer, a refusal or the state of a task, and ignores other notices. The caller
+    /// then has to call [`Owner::update_load`] or [`Owner::dispatch`], which start waiting tasks in
+    /// the room that came free.
     pub fn handle_notice(
         &mut self,
         now: time::Instant,
@@ -100,8 +102,9 @@
         }
     }
 
-    /// Gives up agents that have been silent for [`owner::AGENT_LOST_AFTER`], and lets agents
-    /// whose bar has ended run one task on trial.
+    /// Gives up agents that have been silent for [`owner::AGENT_LOST_AFTER`]. Agents that were
+    /// barred from tasks by their health, for a time that is over now, may run one task at a time
+    /// on trial.
     pub(super) fn check_agent_liveness(&mut self, now: time::Instant) {
         if let Some(before) = now.checked_sub(owner::AGENT_LOST_AFTER) {
             while let Some(id) = self.fleet.silent_since(before) {
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Marks a task of an ended job as dropped, since its agent is lost.
+    /// Marks a task whose agent is lost as dropped if its job has ended.
     pub(super) fn mark_dropped(&mut self, id: &task::Id) {
         if let Some(job) = self.jobs.get_mut(&id.job) {
             let task = &mut job.tasks[id.index as usize];
@@ -155,6 +158,7 @@
         if tasks.is_empty() {
             return;
         }
+        // 0 stands for a job that this owner doesn't have any more.
         let attempt = |id: &task::Id| order::Attempt {
             id: id.clone(),
             attempt: self.jobs.get(&id.job).map_or(0, |job| job.attempts),
--- a/src/decide/owner/endings.rs
+++ b/src/decide/owner/endings.rs
@@ -57,7 +57,8 @@
     }
 
     /// Cancels a job that this owner doesn't have: one of an earlier owner that nobody has
-    /// submitted again yet, or one that never existed. The reply says that the outcome is unknown.
+    /// submitted again yet, one whose ending was evicted, or one that never existed. The reply says
+    /// that the outcome is unknown.
     pub(super) fn cancel_unknown(&mut self, key: &id::JobKey, waiter: action::WaiterId) {
         if self.inheritance.knows_key(key) {
             for agent in self.fleet.agents().keys() {
@@ -65,7 +66,8 @@
                 self.actions.push(Action::Order(agent.clone(), order));
             }
         }
-        // An owner learns of the jobs of the previous owner only when they are submitted again.
+        // An owner learns of the jobs of the previous owner only when they are submitted again, so
+        // it can't tell whether this one ran.
         self.refuse(waiter, refusal::Refusal::new(code::Code::JobUnknown));
     }
 
@@ -202,7 +204,8 @@
     }
 }
 
-/// Returns how long each stage of a job took, if the submission carries a trace.
+/// Returns the times at which the stages of a job began and ended, if the submission carries a
+/// trace.
 fn job_timing(
     job: &job::Job,
     now: time::Instant,
--- a/src/decide/owner/mod.rs
+++ b/src/decide/owner/mod.rs
@@ -35,8 +35,9 @@
 /// Time without a link to an agent after which the agent and its tasks are given up as lost.
 pub const AGENT_LOST_AFTER: time::Duration = time::Duration::from_secs(2);
 
-/// How long agents keep the answers of an ended job, so that a caller that lost the ending because
-/// the owner died still gets them through the next owner.
+/// How long agents keep the answers of an ended job at least, so that a caller that lost the ending
+/// because the owner died still gets them through the next owner. They keep them longer if the
+/// job's claim isn't in the table by then.
 pub const ACKNOWLEDGE_AFTER: time::Duration = time::Duration::from_secs(10);
 
 /// How long the ending of a job is kept for resubmissions.
@@ -49,7 +50,8 @@
 /// Most bytes of inputs and answers that are kept of ended jobs.
 pub const MAX_KEPT_BYTES: usize = 32 * 1024 * 1024;
 
-/// When a caller may submit again after a refusal because the table can't be reached.
+/// Delay after which a caller may submit again if it was refused because the table can't be
+/// reached.
 const STORE_RETRY: time::Duration = time::Duration::from_secs(1);
 
 /// Scheduling settings of an owner, from the operators and the command line.
@@ -57,9 +59,9 @@
 pub struct Policy {
     /// Order in which waiting tasks start.
     pub queue: queue::Policy,
-    /// How the agent of a task is chosen.
+    /// The rule that chooses an agent for each task.
     pub placement: fleet::Placement,
-    /// Whether every claim is in the table before a task of its job starts.
+    /// Whether every claim has to be in the table before any task of its job starts.
     pub claims_ahead: bool,
 }
 
@@ -71,6 +73,7 @@
     /// When the owner was opened, by the monotonic clock and by the wall clock (since the Unix
     /// epoch).
     opened: (time::Instant, time::Duration),
+    /// What is known of the work of earlier owners of the cell.
     inheritance: inherit::Inheritance,
     /// Whether enough is known of earlier owners' work to look submissions up.
     ready: bool,
@@ -149,12 +152,13 @@
         wall + at.saturating_duration_since(opened)
     }
 
-    /// Sets when the operation began that gave this owner the cell, and until when, since the Unix
-    /// epoch, the previous owner may have started work before its claims were written.
+    /// Sets two times of the takeover. `begun` is when the operation on the table began that gave
+    /// this owner the cell. `unclaimed_starts_until`, since the Unix epoch, is until when the
+    /// previous owner may have started work before its claims were written.
     ///
-    /// Guards against a pause of the process between taking the cell and opening its owner: the
-    /// time of opening would count as the last proof of ownership, although that proof is older by
-    /// the pause.
+    /// `begun` guards against a pause of the process between taking the cell and opening its owner:
+    /// without it the time of opening would count as the last proof of ownership, although that
+    /// proof is older by the pause.
     pub fn set_takeover(&mut self, begun: time::Instant, unclaimed_starts_until: time::Duration) {
         self.last_proof = begun;
         self.inheritance
@@ -187,7 +191,8 @@
         self.deadlines.len()
     }
 
-    /// Takes the actions that have to be done, in this order.
+    /// Removes and returns the actions that events have caused, in the order in which they have to
+    /// be done.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -222,8 +227,9 @@
         self.become_ready(now);
     }
 
-    /// Handles a submission: admits a new job, or joins one that is known under the key. The waiter
-    /// gets the job's ending in exactly one reply.
+    /// Handles a submission: admits a new job, adds the waiter to the job that is known under the
+    /// key, or resumes a job of an earlier owner. The waiter gets the job's ending, which may be a
+    /// refusal, in exactly one reply.
     pub fn submit(
         &mut self,
         now: time::Instant,
@@ -307,8 +313,9 @@
         }
     }
 
-    /// Handles everything that is due at this time: passed deadlines, lost agents, acknowledgements
-    /// and old endings. To be called regularly.
+    /// Handles everything that is due at this time: the owner's readiness, passed deadlines, lost
+    /// and barred agents, which client accounts are light, acknowledgements, and old endings. To be
+    /// called regularly.
     pub fn tick(&mut self, now: time::Instant) {
         self.become_ready(now);
         while let Some((deadline, key)) = self.deadlines.first().cloned() {
--- a/src/decide/owner/tasks.rs
+++ b/src/decide/owner/tasks.rs
@@ -15,8 +15,8 @@
 use crate::task;
 
 impl Owner {
-    /// Starts waiting tasks for as long as agents have room for them; called once after each event
-    /// that was handled.
+    /// Starts waiting tasks for as long as agents have room for them. Most methods that handle an
+    /// event call it at their end; after [`Owner::handle_notice`] the caller does.
     pub fn dispatch(&mut self, now: time::Instant) {
         if !self.ready {
             return;
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Sends the start of a task to an agent and books its slot and its estimated time.
+    /// Sends the start of a task to an agent, reserves its slot and resources there, and charges
+    /// its estimated run time to the client account.
     pub(super) fn start_task(
         &mut self,
         now: time::Instant,
@@ -172,6 +173,7 @@
         code: code::Code,
     ) {
         let id = &refused.id;
+        // The agent knows a newer owner, which decides on the task.
         if code == code::Code::StaleEpoch {
             return;
         }
@@ -202,7 +204,8 @@
         let job = self.jobs.get(&refused.id.job);
         match job.and_then(|job| job.tasks.get(refused.id.index as usize)) {
             Some(Progress::Sent { attempt, .. }) => *attempt <= refused.attempt,
-            // A dropped task isn't started again.
+            // This owner has no start of the task under way with which the refusal could be
+            // confused, and it doesn't start a dropped task again.
             Some(_) | None => true,
         }
     }
@@ -243,8 +246,9 @@
             .push(now, &account, &id.job, job.deadline, vec![waiting]);
     }
 
-    /// Releases what is booked for a task on an agent and corrects the charged time by the time
-    /// that it ran. Returns the task's index if it was outstanding there.
+    /// Releases what is reserved for a task on an agent, and corrects the time charged to its
+    /// client account from the estimate to the time that it ran. Returns the task's index if it was
+    /// outstanding there.
     pub(super) fn release_task(
         &mut self,
         now: time::Instant,
@@ -326,14 +330,14 @@
             return;
         };
         let account = &job.submission.job.client_account;
-        let workers = self.fleet.agents().len();
-        let limit = self.health.observe(now, agent, account, outcome, workers);
+        let agents = self.fleet.agents().len();
+        let limit = self.health.observe(now, agent, account, outcome, agents);
         self.fleet.set_limit(agent, limit);
     }
 }
 
-/// Returns how long each stage of a returned task took, if this owner sent it and the submission
-/// carries a trace.
+/// Returns the times at which a task that an agent returned was queued, sent and returned, if this
+/// owner sent it and the submission carries a trace.
 fn task_timing(
     job: &job::Job,
     now: time::Instant,
--- a/tests/claims_ownership.rs
+++ b/tests/claims_ownership.rs
@@ -16,7 +16,8 @@
 
 type OwnedCells = mpsc::UnboundedReceiver<ownership::OwnedCell>;
 
-/// Opens the ownership of one entry over a platform whose next write meets the fault in the mutex.
+/// Opens the ownership of one entry over a platform. The returned mutex holds the fault that is
+/// injected into the next write.
 fn open(memory: &MemoryPlatform) -> (Arc<ownership::Ownership>, OwnedCells, Arc<Mutex<Fault>>) {
     let next = Arc::new(Mutex::new(Fault::None));
     let injected = next.clone();
@@ -73,9 +74,9 @@
 }
 
 /// Guards against a task that starts twice. An entry drains while the table fails, so the cell's
-/// row still names it. The entry ended its owner and opened a second one without any knowledge in
-/// the same epoch. The agents reported their tasks to the second owner, but their fence still let
-/// late starts of the first one pass.
+/// row still names it. The entry ended its owner and opened a second one in the same epoch, which
+/// knew none of the first one's jobs. The agents reported their tasks to the second owner, but
+/// their fence still let late starts of the first one pass.
 #[tokio::test]
 async fn an_epoch_is_never_served_twice() {
     let memory = MemoryPlatform::open();
@@ -93,10 +94,10 @@
 }
 
 /// Guards against a task that starts twice. An owner is silent for so long that another entry takes
-/// its cell, but it wakes up and proves its ownership once more between the other entry's last read
-/// and its write. Then it may still start work before its claims are written. The new owner assumed
-/// that such starts had ended earlier, counted from before that proof, took such a key for new and
-/// started the task again.
+/// its cell, but it runs again and proves its ownership once more between the other entry's last
+/// read and its write. From this proof on it may still start work before its claims are written.
+/// The new owner counted the end of such starts from an earlier proof, took the key of one for new
+/// and started its task again.
 #[tokio::test]
 async fn a_heartbeat_just_before_the_takeover_counts() {
     let memory = MemoryPlatform::open();
--- a/tests/config_file_check.rs
+++ b/tests/config_file_check.rs
@@ -82,7 +82,7 @@
             "class[0].target_ms: ",
         ),
         (
-            "endless target",
+            "target over the limit",
             class("target_ms = 600001"),
             "class[0].target_ms: ",
         ),
--- a/tests/config_force.rs
+++ b/tests/config_force.rs
@@ -226,7 +226,7 @@
     (answer.status.as_u16(), body)
 }
 
-async fn ready_owner(entry: &entry::Entry) -> u16 {
+async fn owner_ready_status(entry: &entry::Entry) -> u16 {
     let uri = format!("http://{}/readyz/owner", entry.http_addr());
     let call = http::Call::new(Method::GET, uri, "");
     let answer = http::open(1024).call(call, support::HANG).await.unwrap();
@@ -268,8 +268,8 @@
         let status = get(&second, "/v1/status").await.1;
         assert_eq!(status["stragglers"], serde_json::json!([]));
         assert_eq!(status["other_versions"]["entry-0"], 2);
-        assert_eq!(ready_owner(&first).await, 200);
-        assert_eq!(ready_owner(&second).await, 503);
+        assert_eq!(owner_ready_status(&first).await, 200);
+        assert_eq!(owner_ready_status(&second).await, 503);
     });
 }
 
--- a/tests/config_head.rs
+++ b/tests/config_head.rs
@@ -12,7 +12,7 @@
 
 /// The slowest propagation of a change: the owner reads just before the change and once more after
 /// its pause, its next message is sent one heartbeat interval later, and the receiver reads the
-/// watched rows and then the document.
+/// watched rows and then the document. Each of these two reads is taken as 500 ms.
 #[test]
 fn bounds_add_up_to_less_than_five_seconds() {
     let reads = ms(2 * 500);
@@ -74,11 +74,11 @@
     let now = start + ms(1_500);
     assert!(
         watch_state.record_remote_read(now, 8, ms(100)),
-        "read after this one's"
+        "newer than this process's own read"
     );
     assert!(
         !watch_state.record_remote_read(now, 6, ms(900)),
-        "read before this one's"
+        "older than this process's own read"
     );
 }
 
--- a/tests/fault_doubt.rs
+++ b/tests/fault_doubt.rs
@@ -1,4 +1,5 @@
-//! For how long new work may already have run after an owner and an agent were lost together.
+//! After an owner and an agent were lost together: which new work may already have run, by the time
+//! at which its key was minted.
 
 use std::time;
 
@@ -6,8 +7,8 @@
 
 const TAKEN_AT: time::Duration = time::Duration::from_secs(1_000_000);
 
-/// The knowledge of an owner that took over while one agent doesn't come back. The previous owner
-/// may have started work without a claim until the time given.
+/// What an owner that took over knows of earlier work if one agent doesn't come back. The previous
+/// owner may have started work without a claim until the time given.
 fn successor(unclaimed_starts_until: time::Duration) -> Inheritance {
     let now = time::Instant::now();
     let mut inheritance = Inheritance::open(now, TAKEN_AT);
@@ -22,7 +23,7 @@
     inheritance
 }
 
-fn look(inheritance: &Inheritance, minted: time::Duration) -> Found {
+fn look_up(inheritance: &Inheritance, minted: time::Duration) -> Found {
     inheritance.look_up(&"canoas/k".into(), 1, Some(minted))
 }
 
@@ -35,7 +36,7 @@
     let unclaimed_starts_until = TAKEN_AT - time::Duration::from_secs(2);
     let inheritance = successor(unclaimed_starts_until);
     let minted = unclaimed_starts_until + 2 * inherit::CLOCK_SKEW;
-    assert_eq!(look(&inheritance, minted), Found::Fresh);
+    assert_eq!(look_up(&inheritance, minted), Found::Fresh);
 }
 
 /// As above, but the work was minted while the previous owner may still have started it, by clocks
@@ -45,7 +46,7 @@
     let unclaimed_starts_until = TAKEN_AT - time::Duration::from_secs(2);
     let inheritance = successor(unclaimed_starts_until);
     let minted = unclaimed_starts_until + 2 * inherit::CLOCK_SKEW - time::Duration::from_millis(1);
-    assert_eq!(look(&inheritance, minted), Found::MayHaveRun);
+    assert_eq!(look_up(&inheritance, minted), Found::MayHaveRun);
 }
 
 /// Guards against a job that runs twice. An owner and an agent are lost together before the claim
@@ -65,11 +66,11 @@
     inheritance.set_members(now, Vec::new(), &[incarnation]);
     inheritance.set_claims(Vec::new());
     let before = lost - time::Duration::from_secs(1);
-    assert_eq!(look(&inheritance, before), Found::MayHaveRun);
+    assert_eq!(look_up(&inheritance, before), Found::MayHaveRun);
     // An owner also starts keys that were minted up to this time after its last proof of ownership.
     let last = lost + inherit::TABLE_CONTACT_WINDOW + 2 * inherit::CLOCK_SKEW;
     let within = last - time::Duration::from_millis(1);
-    assert_eq!(look(&inheritance, within), Found::MayHaveRun);
+    assert_eq!(look_up(&inheritance, within), Found::MayHaveRun);
     let after = last;
-    assert_eq!(look(&inheritance, after), Found::Fresh);
+    assert_eq!(look_up(&inheritance, after), Found::Fresh);
 }
--- a/tests/fault_resumed_job.rs
+++ b/tests/fault_resumed_job.rs
@@ -68,7 +68,7 @@
     owner
 }
 
-/// The code with which the waiter was answered, if it was.
+/// Returns the code of the refusal that the waiter got; none if it got an answer or no reply.
 fn answered(actions: &[Action]) -> Option<Code> {
     actions.iter().find_map(|action| match action {
         Action::Reply(1, ending) => match &**ending {
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -14,8 +14,8 @@
 
 use world::{Agent, Bounds, Joining, Mutation, Node, Row, Table, Truth, Used, World};
 
-/// The initial state: both agents have joined, or one in bounds with a newcomer, and no entry owns
-/// the cell.
+/// The initial state: no entry owns the cell. Both agents have joined it; if the bounds have a
+/// newcomer, only the first one has.
 fn start(bounds: Bounds) -> Node {
     let agent = || {
         let mut ledger = ledger::Ledger::default();
@@ -87,9 +87,9 @@
         "arrives: Hello",
         "arrives: Up",
     ];
-    let known = if start.world.bounds.newcomer { 4 } else { 6 };
+    let steps = if start.world.bounds.newcomer { 4 } else { 6 };
     let mut node = start;
-    for step in first.into_iter().take(known) {
+    for step in first.into_iter().take(steps) {
         let next = moves::all(&node);
         let found = next.into_iter().find(|n| n.world.step.starts_with(step));
         node = found.unwrap_or_else(|| panic!("\"{step}\" can't be done"));
@@ -136,6 +136,7 @@
     }
 }
 
+/// The key holds the time at which it was minted, and an owner dies when its cell is taken over.
 #[test]
 fn aged_key_crash() {
     assert_holds(Bounds {
@@ -144,6 +145,8 @@
     });
 }
 
+/// The key doesn't hold the time at which it was minted, and an owner dies when its cell is taken
+/// over.
 #[test]
 fn plain_key_crash() {
     assert_holds(Bounds {
@@ -153,6 +156,8 @@
     });
 }
 
+/// The key holds the time at which it was minted, and an owner is only paused when its cell is
+/// taken over.
 #[test]
 fn aged_key_pause() {
     assert_holds(Bounds {
@@ -162,6 +167,8 @@
     });
 }
 
+/// The key doesn't hold the time at which it was minted, and an owner is only paused when its cell
+/// is taken over.
 #[test]
 fn plain_key_pause() {
     assert_holds(Bounds {
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -125,7 +125,7 @@
     }
     let fence = w.bounds.mutation != Mutation::FenceRemoved;
     let (agents, entries) = (&w.agents, &w.entries);
-    let owned = |entry: usize| {
+    let owner_epoch = |entry: usize| {
         entries[entry]
             .ownership
             .as_ref()
@@ -138,7 +138,7 @@
             agent,
         } => {
             let stale = fence && *epoch < agents[*agent].ledger.get().epoch();
-            !stale && owned(*entry) == Some(*epoch)
+            !stale && owner_epoch(*entry) == Some(*epoch)
         }
         Message::Down {
             epoch,
@@ -150,7 +150,7 @@
             let stale = fence && *epoch < agent.ledger.get().epoch();
             !stale && *incarnation >= agent.incarnation
         }
-        Message::Up { entry, epoch, .. } => owned(*entry) == Some(*epoch),
+        Message::Up { entry, epoch, .. } => owner_epoch(*entry) == Some(*epoch),
     };
     if !w.messages.iter().all(|message| has_effect(message)) {
         w.messages.retain(|message| has_effect(message));
@@ -287,19 +287,19 @@
     true
 }
 
-/// Ends an entry's owner.
+/// Ends an entry's owner and resets the lag of the entry's clock.
 fn end_owner(w: &mut World, e: usize) {
     w.entries[e].ownership = None;
     w.entries[e].clock_lag = 0;
 }
 
 fn take_cell(w: &mut World, e: usize) -> bool {
-    let early = w.bounds.agents_die_early && w.clock == 0 && w.table.epoch > 0;
-    if early {
+    let before_deaths = w.bounds.agents_die_early && w.clock == 0 && w.table.epoch > 0;
+    if before_deaths {
         return false;
     }
-    let limit = w.used.takeovers >= w.bounds.takeovers;
-    if limit
+    let bound_reached = w.used.takeovers >= w.bounds.takeovers;
+    if bound_reached
         || w.entries[e].ownership.is_some()
         || w.table.owner == Some(e) && w.used.entry_deaths == 0
     {
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -86,17 +86,20 @@
 /// A message between an entry and an agent, with orders and notices in their wire format.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Message {
+    /// An owner opens a link to an agent.
     Hello {
         entry: usize,
         epoch: id::Epoch,
         agent: usize,
     },
+    /// An order from an owner to an incarnation of an agent.
     Down {
         epoch: id::Epoch,
         agent: usize,
         incarnation: id::Incarnation,
         order: String,
     },
+    /// A notice from an agent to its owner, with the slots that the agent offers.
     Up {
         entry: usize,
         epoch: id::Epoch,
@@ -147,9 +150,11 @@
 /// How far an agent has come with joining the cell.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Joining {
+    /// It has neither written its row nor read the epoch.
     Nothing,
     /// The epoch was read before the row was written (only by mutation).
     Read(id::Epoch),
+    /// The row is written, and the epoch not read yet.
     Written,
     Joined,
 }
