--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -150,30 +150,37 @@
 #[test]
 fn a_few_agents_are_asked_at_a_time() {
     let links: BTreeMap<u64, ()> = (1..=20).map(|link| (link, ())).collect();
-    let mut asking = RoomRequests::default();
-    let first = asking.links_to_ask(ms(START), 1, &links);
+    let mut room_requests = RoomRequests::default();
+    let first = room_requests.links_to_ask(ms(START), 1, &links);
     assert_eq!(first, [1, 2, 3, 4, 5, 6]);
     for link in &first {
-        asking.message_sent(*link, Some(1));
+        room_requests.message_sent(*link, Some(1));
     }
     assert!(
-        asking.links_to_ask(ms(START + 9), 1, &links).is_empty(),
+        room_requests
+            .links_to_ask(ms(START + 9), 1, &links)
+            .is_empty(),
         "too soon"
     );
-    let second = asking.links_to_ask(ms(START + 10), 1, &links);
+    let second = room_requests.links_to_ask(ms(START + 10), 1, &links);
     assert_eq!(second, [7, 8, 9, 10, 11, 12]);
     for link in second.into_iter().chain(13..=20) {
-        asking.message_sent(link, Some(1));
+        room_requests.message_sent(link, Some(1));
     }
     assert!(
-        asking.links_to_ask(ms(START + 20), 1, &links).is_empty(),
+        room_requests
+            .links_to_ask(ms(START + 20), 1, &links)
+            .is_empty(),
         "all agents know"
     );
-    let urgent = asking.links_to_ask(ms(START + 30), 0, &links);
+    let urgent = room_requests.links_to_ask(ms(START + 30), 0, &links);
     assert_eq!(urgent.len(), 6, "they don't know the urgency");
-    asking.message_sent(3, None);
-    asking.link_closed(4);
-    assert_eq!(asking.links_to_ask(ms(START + 40), 1, &links), [3, 4]);
+    room_requests.message_sent(3, None);
+    room_requests.link_closed(4);
+    assert_eq!(
+        room_requests.links_to_ask(ms(START + 40), 1, &links),
+        [3, 4]
+    );
 }
 
 /// Guards against refused callers whose work would have met its target: an entry expected a third of the
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -386,7 +386,7 @@
 #[test]
 fn a_heartbeat_of_another_writer_doesn_t_displace_the_live_incarnation() {
     let mut slots = Slots::open(Bounds::default());
-    let living = slots
+    let live = slots
         .heartbeat_received(ms(START), heartbeat("living"))
         .expect("asked");
     let other = slots
@@ -399,7 +399,7 @@
         CheckResult::AnotherIncarnation
     ));
     let answer = CheckResult::Answered(listing(START, &[]));
-    assert!(slots.check_answered(ms(START), ms(START), &living, answer));
+    assert!(slots.check_answered(ms(START), ms(START), &live, answer));
     assert_eq!(slots.server_incarnation().id, "living");
     assert!(slots.advertised_backend().takes_work);
 }
