--- a/tests/formats_platform.rs
+++ b/tests/formats_platform.rs
@@ -149,7 +149,7 @@
     let limits = Limits {
         max_head: 16_385,
         max_body: 65_537,
-        head_timeout: Duration::from_millis(1_001),
+        body_timeout: Duration::from_millis(1_001),
         idle_timeout: Duration::from_millis(15_001),
     };
     assert_eq!((routes.version, routes.limits), (7, limits));
