--- a/tests/contract_budget.rs
+++ b/tests/contract_budget.rs
@@ -51,17 +51,17 @@
 fn budget_holds_over_any_minute() {
     let start = time::Instant::now();
     let mut budget = budget::Budget::open(start, 60.0);
-    let mut left = 0;
+    let mut allowed = 0;
     for tick in 0..60_000 {
         let now = start + ms(tick);
-        left += u32::from(budget.reserve(now, ms(0)).is_some());
+        allowed += u32::from(budget.reserve(now, ms(0)).is_some());
     }
-    assert!((3_600..=3_661).contains(&left), "{left} operations left");
+    assert!((3_600..=3_661).contains(&allowed), "{allowed} operations");
 }
 
-/// Guards against a burst of operations on a table that was slow: all callers that waited would send at once.
-/// A client that is over its budget delays operations. It doesn't send an operation that can't leave within the time
-/// limit, and reports it as not done.
+/// Guards against a burst of operations on a table that was slow: all callers that waited would send at once. A client
+/// that is over its budget delays operations. It doesn't send an operation that its budget doesn't allow within the
+/// time limit, and reports it as not done.
 #[test]
 fn client_delays_or_refuses_operations_over_its_budget() {
     support::block_on(async {
@@ -104,17 +104,17 @@
     const CLIENTS: u64 = 200;
     let outage = ms(60_000);
     let mut first_calls = Vec::new();
-    let mut asked = 0;
+    let mut calls = 0;
     for client in 0..CLIENTS {
         let mut backoff = backoff::seeded(ms(100), ms(1_000), client);
         let mut at = time::Duration::ZERO;
         while at < outage {
-            asked += 1;
+            calls += 1;
             at += backoff.pause();
         }
         first_calls.push(at - outage);
     }
-    assert!(asked <= 60 * CLIENTS, "{asked} calls during the outage");
+    assert!(calls <= 60 * CLIENTS, "{calls} calls during the outage");
     let in_window = |from: u64| {
         let window = ms(from)..ms(from + 50);
         first_calls.iter().filter(|at| window.contains(*at)).count() as u64
@@ -148,9 +148,12 @@
         let (reads, writes) = memory.operations();
         tokio::time::sleep(ms(4_000)).await;
         let (more_reads, more_writes) = memory.operations();
-        let asked = more_reads - reads + more_writes - writes;
+        let operations = more_reads - reads + more_writes - writes;
         // On a slow machine there are fewer operations, never more.
-        assert!((1..=40).contains(&asked), "{asked} operations in 4 s");
+        assert!(
+            (1..=40).contains(&operations),
+            "{operations} operations in 4 s"
+        );
         assert!(entry.owns_any(), "an outage takes no ownership away");
     });
 }
--- a/tests/contract_users_platform.rs
+++ b/tests/contract_users_platform.rs
@@ -1,5 +1,5 @@
-//! How the clients of the platform's store and of backend servers interpret each answer, and each way in which an
-//! answer fails to come.
+//! Tests of how the clients of the platform's store and of backend servers interpret each kind of answer, and each kind
+//! of failure without an answer.
 
 mod support;
 
@@ -119,8 +119,8 @@
 }
 
 /// Guards against callers that wait 50 ms too long for one task in twenty, because its start was lost on the way to a
-/// healthy backend server. The start is sent once more, and both together are one start. Only a success counts, since
-/// the first may still be carried out after any answer to the second.
+/// healthy backend server. The start is sent once more, and the backend server runs the task only once. Only a success
+/// is certain: after any other answer to the second, the first may still be carried out.
 #[test]
 fn a_lost_start_is_sent_once_more() {
     support::block_on(async {
@@ -168,7 +168,8 @@
     });
 }
 
-/// A listing that can't be decoded whole counts as no answer, since it would hide runs and their ends.
+/// A listing that lacks a field, or has a malformed field or row of an ended run, counts as no answer, since it would
+/// hide runs and their ends.
 #[test]
 fn a_malformed_listing_counts_as_no_answer() {
     support::block_on(async {
@@ -363,7 +364,7 @@
     assert_eq!(
         (class.attempts, class.stretch),
         (1, 1.0),
-        "raised to the least sensible values"
+        "raised to the smallest allowed values"
     );
     assert!(routes::decode(br#"{"routes":[]}"#).is_err());
     assert!(routes::decode(b"").is_err());
--- a/tests/other_writers.rs
+++ b/tests/other_writers.rs
@@ -96,13 +96,13 @@
 /// there.
 async fn answer_listings(calls: Calls) {
     loop {
-        let (life, tx) = calls
+        let (id, tx) = calls
             .next("a listing", |call| match call {
                 support::besteffort::Call::List(call, tx) => Ok((call.to.incarnation.id, tx)),
                 other => Err(other),
             })
             .await;
-        let listing = match life.as_str() {
+        let listing = match id.as_str() {
             "" | "life" => Ok(listed(Vec::new(), Vec::new())),
             _ => Err(ListingError::AnotherIncarnation),
         };
--- a/tests/support/schedule.rs
+++ b/tests/support/schedule.rs
@@ -23,7 +23,7 @@
 }
 
 impl<E> Schedule<E> {
-    /// Schedules an event at a time.
+    /// Schedules an event for the time `at`.
     pub fn insert(&mut self, at: u64, event: E) {
         self.last_number += 1;
         self.order.push(Reverse((at, self.last_number)));
--- a/tests/support/script.rs
+++ b/tests/support/script.rs
@@ -40,7 +40,8 @@
     /// Number of times that the body is repeated.
     #[serde(default = "once")]
     pub repeat: usize,
-    /// The content length that the answer declares, in bytes, where it isn't the body's.
+    /// The content length that the answer declares, in bytes, where it isn't the body's. After a body that is shorter
+    /// the server closes the connection.
     pub length: Option<usize>,
     /// Whether the answer is sent twice on the connection.
     #[serde(default)]
--- a/tests/users_platform/main.rs
+++ b/tests/users_platform/main.rs
@@ -18,7 +18,7 @@
 use standins::{Store, Worker};
 
 /// Time limit of a call in a test; it only ends a hang.
-const PATIENCE: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -108,7 +108,7 @@
         let (method, host, path, body) = call;
         let uri = format!("http://{}{path}", self.entries[entry].addr("callers"));
         let call = Call::new(method, uri, body).header("host", host);
-        self.client.call(call, PATIENCE).await
+        self.client.call(call, CALL_TIMEOUT).await
     }
 
     async fn submit(&self, entry: usize, id: u64, job: &Value) -> (u16, Value) {
@@ -357,17 +357,17 @@
         let is_ready = || async {
             let ready = system
                 .client
-                .call(Call::new(Method::GET, uri.clone(), ""), PATIENCE);
+                .call(Call::new(Method::GET, uri.clone(), ""), CALL_TIMEOUT);
             ready.await.expect("an answer").status.as_u16() == 200
         };
         // The entry is ready once no further agent has linked for a moment.
         let began = std::time::Instant::now();
         while !is_ready().await {
-            assert!(began.elapsed() < PATIENCE, "never ready");
+            assert!(began.elapsed() < CALL_TIMEOUT, "never ready");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let path = "/trips/0000000000000001";
-        let stopped = async {
+        let stop_entry = async {
             while system.workers[0].runs().is_empty() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -375,7 +375,7 @@
             system.entries[0].wait_for_line(|line| line["message"] == "entry stops");
             let ready = system
                 .client
-                .call(Call::new(Method::GET, uri, ""), PATIENCE)
+                .call(Call::new(Method::GET, uri, ""), CALL_TIMEOUT)
                 .await;
             ready.expect("an answer").status.as_u16()
         };
@@ -383,7 +383,7 @@
             0,
             (Method::POST, "school.example", path, submitted.to_string()),
         );
-        let (answer, ready) = tokio::join!(call, stopped);
+        let (answer, ready) = tokio::join!(call, stop_entry);
         assert_eq!(answer.expect("an answer").status.as_u16(), 200);
         assert_eq!(ready, 503);
         assert!(system.entries[0].wait_until_ended());
@@ -397,13 +397,13 @@
     block_on(async {
         let mut system = System::open("agent", 1, 1).await;
         let submitted = job(2, 600);
-        let stopped = async {
+        let stop_agent = async {
             while system.workers[0].runs().is_empty() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             system.agents[0].signal("-TERM");
         };
-        let ((status, _), ()) = tokio::join!(system.submit(0, 1, &submitted), stopped);
+        let ((status, _), ()) = tokio::join!(system.submit(0, 1, &submitted), stop_agent);
         assert_eq!(status, 200);
         assert!(system.agents[0].wait_until_ended());
         let (counts, _) = system.run_counts();
@@ -453,7 +453,7 @@
             let uri = format!("http://{}/metrics", process.addr("metrics"));
             let call = system
                 .client
-                .call(Call::new(Method::GET, uri, ""), PATIENCE);
+                .call(Call::new(Method::GET, uri, ""), CALL_TIMEOUT);
             async move { String::from_utf8_lossy(&call.await.expect("an answer").body).into_owned() }
         };
         let entry = page(&system.entries[0]).await;
@@ -561,7 +561,7 @@
             let uri = format!("http://{}/trips/{id:016x}", entry.addr("callers"));
             let call = Call::new(Method::POST, uri, job(1, 5).to_string())
                 .header("host", "school.example");
-            let answer = client.call(call, PATIENCE).await.expect("an answer");
+            let answer = client.call(call, CALL_TIMEOUT).await.expect("an answer");
             assert_eq!(answer.status.as_u16(), 503);
         }
     });
@@ -587,8 +587,8 @@
 
 /// Guards against work for a worker that is leaving, and against a healthy worker without work, after both crashed and
 /// restarted under the same id. The agent took the next incarnation's heartbeats, whose numbers start afresh, for late
-/// ones of the incarnation before: it acknowledged and ignored them. It did so with listings too, where the clock had
-/// started afresh at a smaller time.
+/// ones of the incarnation before: it acknowledged and ignored them. It ignored listings too, if the next incarnation's
+/// clock had started at a smaller time.
 #[test]
 fn a_worker_restarted_under_its_id_leaves_and_serves_like_a_new_one() {
     block_on(async {
@@ -609,7 +609,7 @@
 
         worker.restart(500);
         wait_until_takes_work(entry, "back-agent-0", true);
-        // Eight tasks fit on one of the two workers.
+        // Each of the two workers has room for eight tasks.
         assert_eq!(system.submit(0, 100, &job(12, 30)).await.0, 200);
         assert_ne!(worker.runs().len(), before, "it serves again");
     });
@@ -624,7 +624,7 @@
         // The tasks run for longer than the test may take, but declare a short run time.
         let mut submitted = job(2, 100_000);
         submitted["steps"][0]["est_runtime_ms"] = json!(1_000);
-        let killed = async {
+        let kill_entry = async {
             while system.workers[0].runs().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -635,7 +635,7 @@
             0,
             (Method::POST, "school.example", path, submitted.to_string()),
         );
-        let (answer, ()) = tokio::join!(call, killed);
+        let (answer, ()) = tokio::join!(call, kill_entry);
         assert!(answer.is_err(), "the connection broke");
         while system.workers[0]
             .runs()
@@ -662,8 +662,8 @@
 }
 
 /// Guards against a task that starts in an evacuated failure domain, which may be about to lose its power. The domain's
-/// agent restarts while the store is unavailable, and an entry that takes evacuations only from the store's history
-/// would send it work. A domain that is taken back while the history is lost must serve as before.
+/// agent restarts while the store is unavailable, and an entry that learns of evacuations only from changes in the
+/// store would send it work. A domain that is taken back while the history is lost must serve as before.
 #[test]
 fn an_evacuated_domain_gets_no_work_until_it_is_taken_back() {
     block_on(async {
@@ -710,7 +710,7 @@
         for entry in &system.entries {
             wait_until_takes_work(entry, "evacuated-agent-1", true);
         }
-        // Eight tasks fit on one of the two workers.
+        // Each of the two workers has room for eight tasks.
         for id in 10..14 {
             assert_eq!(
                 system.submit(id as usize % 2, id, &job(12, 30)).await.0,
--- a/tests/users_platform/standins.rs
+++ b/tests/users_platform/standins.rs
@@ -22,7 +22,7 @@
     idle_timeout: Duration::from_secs(60),
 };
 
-/// The loopback address with a free port.
+/// Returns the loopback address with port 0, for which the operating system chooses a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -337,7 +337,7 @@
 pub struct Worker {
     pub addr: SocketAddr,
     pub id: String,
-    work: Arc<Mutex<WorkerState>>,
+    state: Arc<Mutex<WorkerState>>,
 }
 
 impl Worker {
@@ -345,7 +345,7 @@
         let worker = Worker {
             addr: any_port(),
             id: id.into(),
-            work: Arc::default(),
+            state: Arc::default(),
         };
         let answering = worker.clone();
         let answer = move |req| {
@@ -372,7 +372,7 @@
             loop {
                 let uri = format!("http://{agent}/-/instances/{}/heartbeat", worker.id);
                 let incarnation = {
-                    let incarnation = &mut mutex::lock(&worker.work).incarnation;
+                    let incarnation = &mut mutex::lock(&worker.state).incarnation;
                     incarnation.seq += 1;
                     *incarnation
                 };
@@ -395,25 +395,25 @@
 
     /// Announces from now on that the worker takes no new work.
     pub fn leave(&self) {
-        mutex::lock(&self.work).incarnation.leaving = true;
+        mutex::lock(&self.state).incarnation.leaving = true;
     }
 
     /// Crashes and restarts at once under the same id. The new incarnation has no runs; its heartbeats count from 0 and
     /// its clock from `first_ms`. The time of day was set back meanwhile.
     pub fn restart(&self, first_ms: u64) {
-        let mut work = mutex::lock(&self.work);
-        for run in work.runs.iter_mut().filter(|run| run.ended.is_none()) {
+        let mut state = mutex::lock(&self.state);
+        for run in state.runs.iter_mut().filter(|run| run.ended.is_none()) {
             run.ended = Some(Instant::now());
             run.outcome = "crashed";
         }
         let incarnation = Incarnation {
-            born: work.incarnation.born - 1,
+            born: state.incarnation.born - 1,
             first_ms,
             seq: 0,
             ..Incarnation::default()
         };
-        *work = WorkerState {
-            runs: std::mem::take(&mut work.runs),
+        *state = WorkerState {
+            runs: std::mem::take(&mut state.runs),
             incarnation,
             ..WorkerState::default()
         };
@@ -421,25 +421,25 @@
 
     /// Returns every run so far, of all incarnations.
     pub fn runs(&self) -> Vec<RunRecord> {
-        mutex::lock(&self.work).runs.clone()
+        mutex::lock(&self.state).runs.clone()
     }
 
     fn clock_ms(&self) -> u64 {
-        mutex::lock(&self.work).clock_ms()
+        mutex::lock(&self.state).clock_ms()
     }
 
     /// Ends the runs whose time is over, and all runs once the lease has expired.
     fn end_due_runs(&self) {
-        let mut work = mutex::lock(&self.work);
-        let now = work.clock_ms();
-        let lapsed = now > work.lease;
-        let over = work
+        let mut state = mutex::lock(&self.state);
+        let now = state.clock_ms();
+        let lapsed = now > state.lease;
+        let due = state
             .running
             .iter()
-            .filter(|(_, (began, long))| lapsed || began.elapsed() >= *long);
-        let over: Vec<(String, u64)> = over.map(|(key, _)| key.clone()).collect();
-        for key in over {
-            work.end(&key, if lapsed { "lapsed" } else { "done" });
+            .filter(|(_, (began, run_time))| lapsed || began.elapsed() >= *run_time);
+        let due: Vec<(String, u64)> = due.map(|(key, _)| key.clone()).collect();
+        for key in due {
+            state.end(&key, if lapsed { "lapsed" } else { "done" });
         }
     }
 
@@ -454,15 +454,15 @@
         self.end_due_runs();
         let token = order["fencing_token"].as_u64().unwrap_or(0);
         {
-            let mut work = mutex::lock(&self.work);
-            if token < work.token {
+            let mut state = mutex::lock(&self.state);
+            if token < state.token {
                 return http::json(
                     409,
-                    &json!({"clock_ms": work.clock_ms(), "reason": "fence"}),
+                    &json!({"clock_ms": state.clock_ms(), "reason": "fence"}),
                 );
             }
-            work.token = token;
-            work.lease = work.lease.max(order["deadline_ms"].as_u64().unwrap_or(0));
+            state.token = token;
+            state.lease = state.lease.max(order["deadline_ms"].as_u64().unwrap_or(0));
         }
         let key = || {
             let task = order["task"].as_str().unwrap_or_default().to_owned();
@@ -471,7 +471,7 @@
         match path.as_str() {
             "/-/run-start" => self.start(key(), &order),
             "/-/run-stop" => {
-                mutex::lock(&self.work).end(&key(), "stopped");
+                mutex::lock(&self.state).end(&key(), "stopped");
                 http::json(200, &json!({"clock_ms": self.clock_ms()}))
             }
             "/-/hold" => self.hold(&order).await,
@@ -492,47 +492,48 @@
         if order["deadline_ms"].as_u64().unwrap_or(0) <= now {
             return http::json(409, &json!({"clock_ms": now, "reason": "late"}));
         }
-        let long = order["spec"]
+        let run_time = order["spec"]
             .as_str()
             .and_then(|text| text.parse().ok())
             .unwrap_or(1_000);
-        let mut work = mutex::lock(&self.work);
-        work.runs.push(RunRecord {
+        let mut state = mutex::lock(&self.state);
+        state.runs.push(RunRecord {
             task: key.0.clone(),
             began: Instant::now(),
             ended: None,
             outcome: "",
         });
-        work.running
-            .insert(key, (Instant::now(), Duration::from_millis(long)));
+        state
+            .running
+            .insert(key, (Instant::now(), Duration::from_millis(run_time)));
         http::json(200, &json!({"clock_ms": now}))
     }
 
     /// Answers a listing call: waits until a run has ended or the call's wait is over.
     async fn hold(&self, order: &Value) -> Reply {
         let acknowledged = order["ack_cursor"].as_u64().unwrap_or(0);
-        mutex::lock(&self.work)
+        mutex::lock(&self.state)
             .finished
             .retain(|(number, ..)| *number > acknowledged);
         let until = Instant::now() + Duration::from_millis(order["wait_ms"].as_u64().unwrap_or(0));
-        while mutex::lock(&self.work).finished.is_empty() && Instant::now() < until {
+        while mutex::lock(&self.state).finished.is_empty() && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(5)).await;
             self.end_due_runs();
         }
-        let work = mutex::lock(&self.work);
-        let running: Vec<Value> = work
+        let state = mutex::lock(&self.state);
+        let running: Vec<Value> = state
             .running
             .keys()
             .map(|(task, run)| json!([task, run, "", 50, 1000]))
             .collect();
-        let finished = work
+        let finished = state
             .finished
             .iter()
             .map(|(n, task, run, outcome)| json!([n, task, run, outcome, ""]));
         let finished: Vec<Value> = finished.collect();
         http::json(
             200,
-            &json!({"clock_ms": work.clock_ms(), "born": work.incarnation.born, "running": running,
+            &json!({"clock_ms": state.clock_ms(), "born": state.incarnation.born, "running": running,
                 "finished": finished}),
         )
     }
