--- a/src/decide/delivery.rs
+++ b/src/decide/delivery.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Delivery {
     sent: u64,
-    received: u64,
+    confirmed: u64,
     pending: VecDeque<time::Instant>,
 }
 
@@ -24,10 +24,10 @@
 
     /// Records that the other side has received `count` messages on this link in all.
     pub fn confirm(&mut self, count: u64) {
-        let count = count.clamp(self.received, self.sent);
-        let confirmed = (count - self.received) as usize;
-        self.pending.drain(..confirmed);
-        self.received = count;
+        let count = count.clamp(self.confirmed, self.sent);
+        let newly_confirmed = (count - self.confirmed) as usize;
+        self.pending.drain(..newly_confirmed);
+        self.confirmed = count;
     }
 
     /// Returns whether the oldest unconfirmed message was sent more than `limit` ago.
--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -193,11 +193,11 @@
     let mut below = 0.0;
     for (i, (_, rate)) in rates.iter().enumerate() {
         let sharers = (rates.len() - i) as f64;
-        let has_share = below + rate * sharers <= capacity;
+        let fits_equal_share = below + rate * sharers <= capacity;
         let next = rates.get(i + 1).map(|(_, next)| *next);
-        let stands_apart = next.is_some_and(|next| next >= MIN_RATE_RATIO * rate);
+        let is_next_far_higher = next.is_some_and(|next| next >= MIN_RATE_RATIO * rate);
         below += rate;
-        if has_share || (stands_apart && below <= MAX_LIGHT_LOAD * capacity) {
+        if fits_equal_share || (is_next_far_higher && below <= MAX_LIGHT_LOAD * capacity) {
             light_count = i + 1;
         }
     }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -287,8 +287,8 @@
         if *needs == task::Needs::default() || self.capacities.is_empty() {
             return true;
         }
-        let mut seen = self.capacities.iter();
-        seen.any(|(capacity, seen)| needs.fit(capacity) && seen.is_remembered(now))
+        let mut records = self.capacities.iter();
+        records.any(|(capacity, record)| needs.fit(capacity) && record.is_remembered(now))
     }
 
     /// Keeps an index of the agents with room for these needs from now on.
@@ -375,22 +375,23 @@
     /// Counts an agent that now has a capacity.
     fn record_arrival(&mut self, now: time::Instant, capacity: task::Needs) {
         if self.capacities.len() >= MAX_CAPACITIES {
-            self.capacities.retain(|_, seen| seen.is_remembered(now));
+            self.capacities
+                .retain(|_, record| record.is_remembered(now));
         }
         let first = CapacityRecord {
             present: 0,
             last_change: now,
         };
-        let seen = self.capacities.entry(capacity).or_insert(first);
-        seen.present += 1;
-        seen.last_change = now;
+        let record = self.capacities.entry(capacity).or_insert(first);
+        record.present += 1;
+        record.last_change = now;
     }
 
     /// Counts an agent that no longer has a capacity.
     fn record_departure(&mut self, now: time::Instant, capacity: &task::Needs) {
-        if let Some(seen) = self.capacities.get_mut(capacity) {
-            seen.present = seen.present.saturating_sub(1);
-            seen.last_change = now;
+        if let Some(record) = self.capacities.get_mut(capacity) {
+            record.present = record.present.saturating_sub(1);
+            record.last_change = now;
         }
     }
 }
--- a/src/decide/head.rs
+++ b/src/decide/head.rs
@@ -62,13 +62,13 @@
 
     /// Returns the time until the next read is due; `owns` is whether this process owns a cell.
     pub fn next_read_in(&self, now: time::Instant, owns: bool) -> time::Duration {
-        let (since, pause) = if owns {
+        let (since, interval) = if owns {
             (self.read_at, OWNER_READ_INTERVAL)
         } else {
             (self.confirmed_at, MAX_CONFIRMATION_AGE)
         };
         since.map_or(time::Duration::ZERO, |since| {
-            (since + pause).saturating_duration_since(now)
+            (since + interval).saturating_duration_since(now)
         })
     }
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -121,12 +121,12 @@
 
 /// Weighted numbers of successes and failures; the weight of an outcome decreases with later ones.
 #[derive(Clone, Copy, Debug, Default)]
-struct FailureShare {
+struct OutcomeCounts {
     successes: f64,
     failures: f64,
 }
 
-impl FailureShare {
+impl OutcomeCounts {
     /// Adds an outcome, and multiplies the weights of earlier ones by `decay`.
     fn add_outcome(&mut self, failed: bool, decay: f64) {
         self.successes = self.successes * decay + f64::from(u8::from(!failed));
@@ -145,9 +145,9 @@
     /// Workers with any outcome.
     records: HashMap<id::AgentId, WorkerRecord>,
     /// Outcomes of each client account's tasks.
-    client_accounts: HashMap<id::ClientAccount, FailureShare>,
+    client_accounts: HashMap<id::ClientAccount, OutcomeCounts>,
     /// Outcomes of all workers.
-    peers: FailureShare,
+    peers: OutcomeCounts,
     /// Mean logarithm of the ratio of run time to estimate, over all workers.
     peers_log_slowness: f64,
     /// Variance of that logarithm.
@@ -240,8 +240,8 @@
         workers: usize,
     ) {
         self.peers.add_outcome(false, 0.999);
-        if let Some(share) = self.client_accounts.get_mut(account) {
-            share.add_outcome(false, OUTCOME_DECAY);
+        if let Some(counts) = self.client_accounts.get_mut(account) {
+            counts.add_outcome(false, OUTCOME_DECAY);
         }
         let log_slowness = log_slowness(ran, estimate);
         // Both means cover about the same time, so that estimates which are wrong for all workers
@@ -344,17 +344,17 @@
     /// cause, since its tasks fail on workers that are healthy for others. Without this, broken
     /// input of one client account would bar all workers.
     fn attribute_to_account(&mut self, agent: &id::AgentId, account: &id::ClientAccount) -> bool {
-        let suspect = self.records[agent].limit < HEALTHY_LIMIT;
+        let is_worker_suspect = self.records[agent].limit < HEALTHY_LIMIT;
         if self.client_accounts.len() >= MAX_ACCOUNTS {
             self.client_accounts.clear();
         }
-        let share = self.client_accounts.entry(account.clone()).or_default();
-        let fault = share.failures >= 3.0 && share.failure_share() > 0.5;
-        if !suspect {
-            share.add_outcome(true, OUTCOME_DECAY);
+        let counts = self.client_accounts.entry(account.clone()).or_default();
+        let is_account_at_fault = counts.failures >= 3.0 && counts.failure_share() > 0.5;
+        if !is_worker_suspect {
+            counts.add_outcome(true, OUTCOME_DECAY);
             self.peers.add_outcome(true, 0.999);
         }
-        fault
+        is_account_at_fault
     }
 }
 
--- a/src/decide/job.rs
+++ b/src/decide/job.rs
@@ -105,15 +105,15 @@
     /// so none is looked up by its index again; resubmissions need only the key, the digest and the
     /// ending.
     pub fn release_inputs(&mut self) {
-        let whole = &self.submission;
+        let full = &self.submission;
         self.submission = Arc::new(submission::Submission {
-            key: whole.key.clone(),
-            digest: whole.digest,
-            minted_ms: whole.minted_ms,
-            idempotent: whole.idempotent,
+            key: full.key.clone(),
+            digest: full.digest,
+            minted_ms: full.minted_ms,
+            idempotent: full.idempotent,
             job: submission::Job {
-                client_account: whole.job.client_account.clone(),
-                class: whole.job.class.clone(),
+                client_account: full.job.client_account.clone(),
+                class: full.job.class.clone(),
                 tasks: Vec::new(),
             },
             traceparent: None,
