--- a/src/decide/action.rs
+++ b/src/decide/action.rs
@@ -15,11 +15,12 @@
 pub enum Action {
     /// Send an order to an agent.
     Order(id::AgentId, order::Order),
-    /// Write a claim to the table, then call the owner's `claimed` or `claim_refused`.
+    /// Write a claim to the table, then call the owner's `claims_written` or `claims_refused`.
     Claim(Claim),
     /// Send a waiter the ending of its job.
     Reply(WaiterId, Arc<submission::Ending>),
-    /// Record the times of a task or job that ended and belongs to a trace.
+    /// Record the times of a job that ended, or of a task that an agent answered or refused, for
+    /// the trace that it belongs to.
     Record(timing::Timing),
 }
 
--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -6,8 +6,9 @@
 /// Deadlines are rounded down to multiples of this.
 const DEADLINE_STEP: time::Duration = time::Duration::from_millis(250);
 
-/// Share of its target within which a job must be forecast to end. The rest of the target allows
-/// for errors of the forecast; `docs/design/overload.md` has the figures.
+/// A job is forecast to be in time if the forecast says that it ends within this share of its
+/// target. The rest of the target allows for errors of the forecast; `docs/design/overload.md` has
+/// the figures.
 pub const PLANNED_TARGET_SHARE: f64 = 0.4;
 
 /// Waiting work of one client account.
@@ -16,12 +17,13 @@
     /// Seconds of slot time, by deadline in units of [`DEADLINE_STEP`].
     by_deadline: BTreeMap<u64, f64>,
     tasks: usize,
+    /// Slot time of all waiting tasks, in seconds.
     seconds: f64,
 }
 
 impl Backlog {
-    /// Adds `tasks` tasks of `seconds` slot time in all. The deadline counts from the same start
-    /// for all calls.
+    /// Adds `tasks` tasks of `seconds` slot time in all. Deadlines are measured from a point in
+    /// time that is the same for all calls.
     pub fn add(&mut self, deadline: time::Duration, tasks: usize, seconds: f64) {
         *self.by_deadline.entry(deadline_step(deadline)).or_default() += seconds;
         self.tasks += tasks;
@@ -56,13 +58,15 @@
         self.seconds
     }
 
-    /// Returns by how much the latest job of the client account would miss its time if a job were
-    /// added; zero if all would be in time, an hour at most.
+    /// Returns by how much the client account's waiting jobs would be late if a job were added: the
+    /// largest lateness of any, zero if all would be in time, an hour at most. The added job is
+    /// late if it ends after [`PLANNED_TARGET_SHARE`] of its target, those with later deadlines if
+    /// they end after them.
     ///
     /// The added job has `seconds` of slot time in all, and its longest task runs for `longest`;
-    /// `rate` is the number of slots that the client account may use. Work is done in the order of
-    /// deadlines, so the job waits for all work that is due before it and delays all that is due
-    /// after it.
+    /// `rate` is the number of slots that the client account may use. `now` and `deadline` are
+    /// measured as in [`add`](Backlog::add). Work is done in the order of deadlines, so the job
+    /// waits for all work that is due before it and delays all that is due after it.
     pub fn lateness(
         &self,
         now: time::Duration,
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -23,13 +23,15 @@
     writes: 60.0,
 };
 
-/// How long, in seconds, an unused budget accumulates.
+/// An unused budget accumulates at most the operations of this many seconds.
 const MAX_SAVED_SECONDS: f64 = 1.0;
 
 /// The token bucket of one kind of operation.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: f64,
+    /// Operations that may be requested now; negative while callers wait for operations that they
+    /// have reserved.
     tokens: f64,
     refilled_at: time::Instant,
 }
--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -5,7 +5,8 @@
 use crate::class;
 use crate::id;
 
-/// The newest configuration that this process has read, and the newest version that others have.
+/// The newest configuration that this process has read, and the newest version that others have
+/// announced.
 #[derive(Clone, Debug, Default)]
 pub struct Current {
     newest: Option<Arc<class::Versioned>>,
@@ -13,7 +14,8 @@
 }
 
 impl Current {
-    /// Puts a configuration that was read into force if it is newer. Returns whether it is.
+    /// Takes a configuration that was read from the store. Puts it into force and returns true if
+    /// it is newer than the one in force.
     ///
     /// A slow read may finish after a later, quicker one; the check keeps its older version from
     /// coming back into force.
@@ -30,8 +32,8 @@
         self.remote_version = self.remote_version.max(version);
     }
 
-    /// Returns whether another process has a newer version, so that a read now is worth its
-    /// message.
+    /// Returns whether another process has announced a newer version, so that this process should
+    /// read the configuration now.
     pub fn is_behind(&self) -> bool {
         self.remote_version > self.version()
     }
--- a/src/decide/delivery.rs
+++ b/src/decide/delivery.rs
@@ -1,8 +1,9 @@
 //! Detects that messages sent on a link no longer arrive at the other side.
 //!
 //! A connection may fail in one direction only: heartbeats still arrive, so the link looks alive,
-//! while everything sent on it is lost. Each side's messages carry the number of messages that it
-//! has received on the link, so the sender sees which of its own are unconfirmed.
+//! while everything sent on it is lost. The messages of each side carry the number of messages that
+//! this side has received on the link, so the other side sees which of its own messages are
+//! unconfirmed.
 
 use std::collections::VecDeque;
 use std::time;
@@ -11,7 +12,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Delivery {
     sent: u64,
+    /// Number of sent messages that the other side has received.
     confirmed: u64,
+    /// When each unconfirmed message was sent, oldest first.
     pending: VecDeque<time::Instant>,
 }
 
--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -1,8 +1,8 @@
-//! Classifies client accounts as light or heavy by how much slot time each has lately asked for,
-//! whether it got it or not.
+//! Classifies client accounts as light or heavy by their offered work: the slot time that each has
+//! lately asked for, including what was refused.
 //!
 //! Used slot time alone can't distinguish a client account that floods the system from one that
-//! uses its fair share: under overload both may use the same amount. Offered work can.
+//! uses its fair share: under overload both may use the same amount. Their offered work differs.
 //! `docs/design/queue.md` compares the two.
 
 use std::collections::HashMap;
@@ -16,22 +16,22 @@
 /// Interval at which client accounts are classified.
 pub const CLASSIFY_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Shortest time over which a rate is computed, in seconds; a shorter one would make the first job
-/// look like a flood.
+/// Shortest time over which a rate is computed, in seconds; over a shorter one, the first job alone
+/// would give an excessive rate.
 const MIN_RATE_SPAN: f64 = 0.25;
 
-/// Least ratio between a client account's rate and that of the next lower one, for all those below
-/// it to be light although they exceed their equal share.
+/// If a client account's rate is at least this many times the next lower one, all those below it
+/// may be light although they exceed their equal share.
 const MIN_RATE_RATIO: f64 = 2.0;
 
-/// Share of the capacity that such light client accounts may seem to ask for together. It exceeds
-/// 1, since a burst of theirs exceeds the capacity for a while.
+/// Share of the capacity that the rates of such client accounts may add up to. It exceeds 1, since
+/// a burst of their work exceeds the capacity for a while.
 const MAX_LIGHT_LOAD: f64 = 1.15;
 
 /// Weight of a new job in the mean slot time of a job.
 const JOB_WEIGHT: f64 = 0.01;
 
-/// Light client accounts with a lower rate, in slots, are forgotten.
+/// Rate, in slots, below which a light client account is forgotten.
 const NEGLIGIBLE_RATE: f64 = 1e-4;
 
 /// The demand of a cell's client accounts, and which of them are light.
@@ -51,7 +51,7 @@
 /// The recent demand of one client account.
 #[derive(Clone, Debug)]
 struct AccountDemand {
-    /// Slot time in seconds, decayed up to `decayed_at`.
+    /// Slot time that it has asked for, in seconds, decayed up to `decayed_at`.
     seconds: f64,
     decayed_at: time::Instant,
     /// Slots that a heavy client account can expect to get; `None` for a light one.
@@ -59,7 +59,7 @@
 }
 
 impl AccountDemand {
-    /// Lets the offered work decay up to now.
+    /// Applies the decay of the offered work from `decayed_at` to `now`.
     fn decay(&mut self, now: time::Instant) {
         let age = now.saturating_duration_since(self.decayed_at).as_secs_f64();
         self.seconds *= (-age / DECAY_TIME.as_secs_f64()).exp();
@@ -121,7 +121,7 @@
     }
 
     /// Adds the difference between used and estimated slot time of a task, in seconds, so that
-    /// wrong declarations make neither their client account light nor others heavy.
+    /// wrong declared run times make neither their client account light nor other ones heavy.
     pub fn correct(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
         if let Some(demand) = self.client_accounts.get_mut(account) {
             demand.decay(now);
@@ -168,10 +168,13 @@
         (self.light_rate * self.mean_job_seconds / DECAY_TIME.as_secs_f64()).sqrt()
     }
 
-    /// Returns the slots that each client account asks for, without negligible ones.
+    /// Returns the slots that each client account asks for. Forgets the light client accounts whose
+    /// rate is negligible.
     fn rates(&mut self, now: time::Instant) -> Vec<(id::ClientAccount, f64)> {
         let window = DECAY_TIME.as_secs_f64();
         let age = now.saturating_duration_since(self.opened_at).as_secs_f64();
+        // Constant demand since the record was opened gives decayed work of its rate times this
+        // span.
         let span = (window * (1.0 - (-age / window).exp())).max(MIN_RATE_SPAN);
         self.client_accounts.retain(|_, demand| {
             demand.decay(now);
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -1,8 +1,8 @@
 //! Run times learned per client account and kind of task; the caller's declaration is only a prior.
 //!
-//! There are two forecasts for each pair: the mean of the observed run times, and the declared
-//! value corrected by its mean error. The declared value is used only while its error is clearly
-//! smaller (`docs/design/learning.md`).
+//! There are two forecasts for each pair of client account and kind: the mean of the observed run
+//! times, and the declared value corrected by its mean error. The declared value is used only while
+//! its error is clearly smaller (`docs/design/learning.md`).
 
 use std::collections::HashMap;
 use std::time;
@@ -17,7 +17,8 @@
 /// Estimate for a pair with neither an observation nor a declaration.
 const DEFAULT_RUN_TIME: time::Duration = time::Duration::from_millis(300);
 
-/// Most pairs whose run times are learned; for others the declared or default run time is used.
+/// Largest number of pairs whose run times are learned; for others the declared or default run time
+/// is used.
 const MAX_PAIRS: usize = 10_000;
 
 /// The declared value is used if its squared error is below this share of the mean's squared error.
@@ -44,17 +45,18 @@
     mean_seconds: f64,
     /// Mean of the logarithm of the run time in seconds.
     log_mean: f64,
-    /// Squared error of `log_mean` as a forecast.
+    /// Mean squared error of `log_mean` as a forecast of the next logarithm.
     mean_error: f64,
     /// Number of observations with a declared run time.
     declared_observations: u32,
     /// Mean of the logarithm of the ratio of run time to declared run time.
     bias: f64,
-    /// Squared error of the corrected declaration as a forecast.
+    /// Mean squared error of the declared run time, corrected by `bias`, as such a forecast.
     declared_error: f64,
 }
 
 impl KindStats {
+    /// Returns the estimated run time in seconds; `declared_ms` is 0 if none was declared.
     fn estimate(&self, declared_ms: u64) -> f64 {
         let informative = self.declared_observations > 1
             && declared_ms > 0
@@ -66,6 +68,7 @@
         }
     }
 
+    /// Adds an observed run time and the one that was declared for it; 0 if none was.
     fn observe(&mut self, seconds: f64, declared_ms: u64) {
         let log = seconds.max(MIN_SECONDS).ln();
         self.observations = self.observations.saturating_add(1);
@@ -89,7 +92,8 @@
     }
 }
 
-/// Returns the weight that the last one of that many observations gets in a mean.
+/// Returns the weight that the newest observation gets in a mean over `observations`, itself
+/// included.
 fn observation_weight(observations: u32) -> f64 {
     MIN_WEIGHT.max(1.0 / f64::from(observations))
 }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -30,13 +30,13 @@
     LeastOfTwo,
 }
 
-/// Most different needs for which the fleet keeps an index of the agents with room.
+/// Largest number of distinct needs for which the fleet keeps an index of the agents with room.
 const MAX_INDEXED_NEEDS: usize = 32;
 
 /// How long the fleet remembers the capacity of a worker that has left.
 pub const CAPACITY_RETENTION: time::Duration = time::Duration::from_secs(600);
 
-/// Most different capacities that are remembered.
+/// Number of distinct capacities from which on those that no agent had lately are dropped.
 const MAX_CAPACITIES: usize = 1_000;
 
 /// Whether an agent can be sent tasks.
@@ -115,7 +115,7 @@
     last_change: time::Instant,
 }
 
-/// An agent's part in the fleet's totals, which an update replaces.
+/// What an agent contributes to the fleet's totals of slots; an update replaces it.
 #[derive(Clone, Copy)]
 struct SlotCounts {
     free: u32,
@@ -123,7 +123,8 @@
 }
 
 impl CapacityRecord {
-    /// Returns whether tasks that need such an agent may wait for one.
+    /// Returns whether an agent has the capacity now or had it less than [`CAPACITY_RETENTION`]
+    /// ago, so that tasks that need it may wait.
     fn is_remembered(&self, now: time::Instant) -> bool {
         self.present > 0 || now.saturating_duration_since(self.last_change) < CAPACITY_RETENTION
     }
@@ -143,9 +144,10 @@
 pub struct Fleet {
     placement: Placement,
     agents: BTreeMap<id::AgentId, Agent>,
-    /// For some needs, the agents that have room for such a task, by free slots.
+    /// For each of the indexed needs, the agents that have room for a task with them, by free
+    /// slots.
     agents_with_room: HashMap<task::Needs, BTreeSet<(u32, id::AgentId)>>,
-    /// Silent agents, by the time since which they are.
+    /// Silent agents, by the time at which their links ended.
     silent: BTreeSet<(time::Instant, id::AgentId)>,
     capacities: HashMap<task::Needs, CapacityRecord>,
     free_slots: u32,
@@ -282,7 +284,8 @@
     }
 
     /// Returns whether some agent, when it runs nothing, could run a task with these needs. Agents
-    /// that left less than [`CAPACITY_RETENTION`] ago count too.
+    /// that left less than [`CAPACITY_RETENTION`] ago count too. Returns true while no capacity is
+    /// remembered.
     pub fn could_ever_run(&self, now: time::Instant, needs: &task::Needs) -> bool {
         if *needs == task::Needs::default() || self.capacities.is_empty() {
             return true;
@@ -291,7 +294,9 @@
         records.any(|(capacity, record)| needs.fit(capacity) && record.is_remembered(now))
     }
 
-    /// Keeps an index of the agents with room for these needs from now on.
+    /// Creates an index of the agents with room for these needs, unless there is one. If
+    /// `MAX_INDEXED_NEEDS` are indexed already, drops all of them except that of tasks without
+    /// needs.
     pub fn index_needs(&mut self, needs: &task::Needs) {
         if self.agents_with_room.contains_key(needs) {
             return;
@@ -336,7 +341,7 @@
         fitting.iter().nth(at).map(|(_, id)| id.clone())
     }
 
-    /// Draws two agents with room at random and returns the one with more free slots.
+    /// Draws an agent with room at random twice and returns the one with more free slots.
     fn less_loaded_of_two(&mut self, needs: &task::Needs) -> Option<id::AgentId> {
         let a = self.draw_agent(needs)?;
         let b = self.draw_agent(needs)?;
@@ -372,7 +377,7 @@
         }
     }
 
-    /// Counts an agent that now has a capacity.
+    /// Counts an agent that has got this capacity.
     fn record_arrival(&mut self, now: time::Instant, capacity: task::Needs) {
         if self.capacities.len() >= MAX_CAPACITIES {
             self.capacities
@@ -387,7 +392,7 @@
         record.last_change = now;
     }
 
-    /// Counts an agent that no longer has a capacity.
+    /// Counts an agent that has lost this capacity.
     fn record_departure(&mut self, now: time::Instant, capacity: &task::Needs) {
         if let Some(record) = self.capacities.get_mut(capacity) {
             record.present = record.present.saturating_sub(1);
--- a/src/decide/head.rs
+++ b/src/decide/head.rs
@@ -11,10 +11,11 @@
 /// Interval between reads of an owner; other processes rely on its reads.
 pub const OWNER_READ_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// Age of the newest confirmation of the rows after which a process that owns no cell reads them.
+/// A process that owns no cell reads the rows once its newest confirmation of them is this old.
 pub const MAX_CONFIRMATION_AGE: time::Duration = time::Duration::from_secs(3);
 
-/// Digest of the rows and their revisions, in 53 bits.
+/// Digest of the rows' keys and revisions. It has 53 bits, the most that JSON numbers hold in other
+/// languages.
 pub type Digest = u64;
 
 /// What one process knows of the watched rows: their digest and when it was last confirmed.
@@ -23,7 +24,7 @@
     digest: Digest,
     /// When this process's newest read began.
     read_at: Option<time::Instant>,
-    /// When the newest read by any process began that gave this digest.
+    /// When the newest read that gave this digest began, whichever process made it.
     confirmed_at: Option<time::Instant>,
 }
 
@@ -54,7 +55,7 @@
     }
 
     /// Returns what this process may send to others: its digest and the age of its newest
-    /// confirmation.
+    /// confirmation; `None` before its first read.
     pub fn known_digest(&self, now: time::Instant) -> Option<(Digest, time::Duration)> {
         let confirmed_at = self.confirmed_at?;
         Some((self.digest, now.saturating_duration_since(confirmed_at)))
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -18,7 +18,7 @@
 /// Share of failures above which a worker is barred though its failures aren't in a row.
 const MAX_FAILURE_SHARE: f64 = 0.3;
 
-/// Ratio to the peers' share of failures which such a worker's share must also exceed.
+/// Such a worker's share of failures must also exceed this many times the share of its peers.
 const MIN_RATIO_TO_PEERS: f64 = 3.0;
 
 /// Least weighted number of outcomes for which a share of failures is computed.
@@ -27,20 +27,23 @@
 /// Factor by which the weight of an outcome decreases with each later one.
 const OUTCOME_DECAY: f64 = 0.9;
 
-/// Ratio to its peers' slowness above which a worker is barred.
+/// Ratio of a worker's slowness to that of its peers above which it is barred. Slowness is the
+/// ratio of run time to estimate.
 const SLOW_RATIO: f64 = 2.5;
 
-/// The same ratio for a single task of a returning worker, or one that was stopped.
+/// The same ratio for a single task: one of a returning worker, or one that was stopped.
 const SLOW_TASK_RATIO: f64 = 4.0;
 
-/// Least standard errors by which a barred worker must differ from its peers, so that inexact
-/// estimates bar none.
+/// Standard errors by which the slowness of a worker must exceed that of its peers, at least,
+/// before it is barred, so that inexact estimates bar no worker.
 const SLOW_STANDARD_ERRORS: f64 = 4.5;
 
-/// Least standard deviations by which a stopped task must differ.
+/// Standard deviations by which the slowness of a stopped task must exceed the mean, at least, for
+/// the task to count as a failure.
 const OVERDUE_DEVIATIONS: f64 = 3.5;
 
-/// A task that was stopped earlier than this doesn't count against its worker.
+/// A task that ran for less than this before it was stopped doesn't count as a failure of its
+/// worker.
 const MIN_OVERDUE_RUN: time::Duration = time::Duration::from_secs(2);
 
 /// Least weight of a new run time in a worker's mean slowness; the first ones weigh `1 / n`.
@@ -54,14 +57,15 @@
 /// Longest time for which a worker is barred.
 const MAX_BAR_TIME: time::Duration = time::Duration::from_secs(60);
 
-/// Limit of tasks at a time from which a returning worker counts as healthy again.
+/// A returning worker counts as healthy again once its limit of tasks at a time reaches this.
 const HEALTHY_LIMIT: u32 = 64;
 
 /// Largest share of the workers that may be barred at a time. If more seem to fail, the cause is
 /// probably not the workers, and barring them would only reduce the remaining capacity.
 const MAX_BARRED_SHARE: f64 = 0.5;
 
-/// Most client accounts for which failures are counted.
+/// Largest number of client accounts for which outcomes are counted; all counts are cleared when it
+/// is reached.
 const MAX_ACCOUNTS: usize = 10_000;
 
 /// How a task ended at a worker, as far as it says something about the worker.
@@ -119,7 +123,8 @@
     }
 }
 
-/// Weighted numbers of successes and failures; the weight of an outcome decreases with later ones.
+/// Weighted numbers of successes and failures; each later outcome reduces the weight of the earlier
+/// ones.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeCounts {
     successes: f64,
@@ -144,14 +149,17 @@
 pub struct Health {
     /// Workers with any outcome.
     records: HashMap<id::AgentId, WorkerRecord>,
-    /// Outcomes of each client account's tasks.
+    /// Outcomes of each client account's tasks. Failures on workers whose limit is below
+    /// [`HEALTHY_LIMIT`] aren't counted, and there is no record before the first failure.
     client_accounts: HashMap<id::ClientAccount, OutcomeCounts>,
-    /// Outcomes of all workers.
+    /// Outcomes of all workers, without refusals and without failures on workers whose limit is
+    /// below [`HEALTHY_LIMIT`].
     peers: OutcomeCounts,
     /// Mean logarithm of the ratio of run time to estimate, over all workers.
     peers_log_slowness: f64,
     /// Variance of that logarithm.
     peers_variance: f64,
+    /// Number of run times in that mean.
     peers_runs: u32,
     /// Barred workers, by the end of their bars.
     bars: BTreeSet<(time::Instant, id::AgentId)>,
@@ -174,8 +182,8 @@
         self.records.get(agent).map_or(u32::MAX, |r| r.limit)
     }
 
-    /// Records an outcome of one of `workers` workers in all. Returns how many tasks it may have at
-    /// a time now.
+    /// Records an outcome of a worker; `workers` is the number of workers of the cell. Returns how
+    /// many tasks it may have at a time now.
     pub fn observe(
         &mut self,
         now: time::Instant,
@@ -257,7 +265,8 @@
             .get_mut(agent)
             .expect("a worker with an outcome has a record");
         if record.barred_until.is_some() {
-            // The task began before the worker was barred, so it says nothing about the time since.
+            // The task began before the worker was barred, so its success doesn't show that the
+            // worker has recovered.
             return;
         }
         record.add_outcome(1.0, 0.0);
@@ -289,7 +298,7 @@
         }
     }
 
-    /// Returns whether a task that was stopped should have ended long before.
+    /// Returns whether a task that was stopped had run far longer than expected.
     fn is_overdue(&self, ran: time::Duration, estimate: time::Duration) -> bool {
         let least = SLOW_TASK_RATIO
             .ln()
@@ -340,9 +349,10 @@
         self.bars.insert((barred_until, agent.clone()));
     }
 
-    /// Counts a failure for its client account. Returns whether the client account is the likelier
-    /// cause, since its tasks fail on workers that are healthy for others. Without this, broken
-    /// input of one client account would bar all workers.
+    /// Counts a failure for its client account, unless the worker is suspect itself, with a limit
+    /// below [`HEALTHY_LIMIT`]. Returns whether the client account is the likelier cause, since its
+    /// tasks fail on workers that are healthy for others. Without this, broken input of one client
+    /// account would bar all workers.
     fn attribute_to_account(&mut self, agent: &id::AgentId, account: &id::ClientAccount) -> bool {
         let is_worker_suspect = self.records[agent].limit < HEALTHY_LIMIT;
         if self.client_accounts.len() >= MAX_ACCOUNTS {
--- a/src/decide/inherit.rs
+++ b/src/decide/inherit.rs
@@ -22,10 +22,10 @@
 /// their claim is written.
 pub const TABLE_CONTACT_WINDOW: time::Duration = time::Duration::from_secs(2);
 
-/// Most by which the clocks of two processes of the system may differ; machines that synchronize
-/// their clocks over the network differ by a few milliseconds. If an agent is missing at a
-/// takeover, new work is answered as "may have run" for [`TABLE_CONTACT_WINDOW`] plus twice this,
-/// so a larger bound costs answers.
+/// Bound on the difference between the clocks of two processes of the system; machines that
+/// synchronize their clocks over the network differ by a few milliseconds. If an agent is missing
+/// at a takeover, new work is answered as "may have run" for [`TABLE_CONTACT_WINDOW`] plus twice
+/// this, so a larger bound costs answers.
 pub const CLOCK_SKEW: time::Duration = time::Duration::from_millis(500);
 
 /// A claim as it is stored in the table.
@@ -75,8 +75,8 @@
     pub claimed: bool,
 }
 
-/// The tasks of one job of which agents have records: by index the incarnation and the task's state
-/// there.
+/// The tasks of one job of which agents have records, by index: the incarnation that has the
+/// record, and the task's state in it.
 pub type RememberedTasks = BTreeMap<id::TaskIndex, (AgentIncarnation, ledger::TaskState)>;
 
 /// What a new owner knows of a submission's key.
@@ -100,7 +100,7 @@
 /// What one new owner knows of the work of earlier owners.
 #[derive(Clone, Debug)]
 pub struct Inheritance {
-    /// When the epoch was written, since the Unix epoch.
+    /// When the owner's epoch was written to the table, as a time since the Unix epoch.
     taken_at: time::Duration,
     /// Until when an earlier owner may have started work without a claim, since the Unix epoch.
     unclaimed_starts_until: time::Duration,
@@ -118,8 +118,8 @@
 }
 
 impl Inheritance {
-    /// Creates the record of an owner whose epoch was written at `wall` since the Unix epoch;
-    /// members, claims and reports are added later.
+    /// Creates the record of a new owner. `wall` is the time, since the Unix epoch, at which the
+    /// owner's own epoch was written to the table; members, claims and reports are added later.
     pub fn open(now: time::Instant, wall: time::Duration) -> Inheritance {
         Inheritance {
             taken_at: wall,
@@ -220,15 +220,17 @@
         }
     }
 
-    /// Returns whether an earlier owner may have started a key without a claim.
+    /// Returns whether an earlier owner may have started the job of a key without a claim. A key
+    /// that doesn't contain the time at which it was minted is never started without one.
     ///
-    /// An owner starts a key before its claim is written only if the key was minted at most
+    /// An owner starts a job before its claim is written only if its key was minted at most
     /// [`TABLE_CONTACT_WINDOW`] after the owner's last proof of ownership. That proof came before
-    /// this takeover, and before the end of every incarnation of an agent that the owner used. So a
-    /// key can't have been started if it was minted long enough after the last time at which the
-    /// earlier owner may have started work, or if it is younger than the end of every incarnation
-    /// that can't report. None of this depends on the caller's clock: both owners compare the key
-    /// with the clocks of entries and agents only, and those differ by at most [`CLOCK_SKEW`].
+    /// this takeover, and before the end of every incarnation of an agent that the owner used. So
+    /// the job of a key can't have been started if the key was minted long enough after the last
+    /// time at which the earlier owner may have started work, or long enough after the end of every
+    /// incarnation that can't report. None of this depends on the caller's clock: both owners
+    /// compare the time in the key only with clocks of entries and agents, and those differ by at
+    /// most [`CLOCK_SKEW`].
     fn may_have_started_unclaimed(&self, minted: Option<time::Duration>) -> bool {
         let Some(minted) = minted else {
             return false;
--- a/src/decide/job.rs
+++ b/src/decide/job.rs
@@ -38,7 +38,7 @@
     },
     /// Its answer has arrived.
     Done(Box<RawValue>),
-    /// It will not be started, and its answer is no longer awaited.
+    /// It will not be started, or its job has ended; no answer of it is awaited.
     Dropped,
 }
 
@@ -121,14 +121,15 @@
         self.tasks = Vec::new();
     }
 
-    /// Returns whether any task was sent to an agent that hasn't refused it.
+    /// Returns whether any task was sent to an agent that hasn't refused it. This holds until the
+    /// job ends, since the answered tasks of an ended job are marked as dropped.
     pub fn may_have_run(&self) -> bool {
         self.tasks
             .iter()
             .any(|task| !matches!(task, Progress::Waiting | Progress::Dropped))
     }
 
-    /// Returns the agents that have tasks of the job and haven't answered them.
+    /// Returns the agents to which tasks of the job were sent that have no answer yet.
     pub fn agents_holding_tasks(&self) -> BTreeSet<id::AgentId> {
         let holder = |task: &Progress| match task {
             Progress::Sent { agent, .. } | Progress::Inherited { agent } => Some(agent.clone()),
@@ -163,7 +164,7 @@
         answers.map(submission::Ending::Complete)
     }
 
-    /// Returns the refusal with which the job fails for a reason. Its code says "not run" only if
+    /// Returns the refusal with which the job fails for `reason`. Its code says "not run" only if
     /// no task can have run.
     ///
     /// A cancelled job is never reported as not run: the cancellation is recorded at this owner
@@ -172,7 +173,7 @@
         let ran = self.may_have_run();
         let code = match (reason, ran) {
             (code::Code::TaskTimeout, false) => code::Code::Expired,
-            // "Not run" is reported only for a job of which no task was sent.
+            // "Not run" is reported only if no task can have run.
             (code::Code::Expired, true) => code::Code::TaskTimeout,
             (reason, true) if reason.outcome() == code::Outcome::NotRun => code::Code::RetriesSpent,
             (reason, _) => reason,
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -21,8 +21,8 @@
 
 /// How long records, claims and lost incarnations are kept.
 ///
-/// A job may end as late as the longest target after its acceptance, and the last event of it at
-/// one agent may come early in that time. All records of it must be kept until it may no longer be
+/// A job may last as long as the longest target, and an agent may have its last event of the job
+/// early in that time. All records of the job must still be kept until it may no longer be
 /// resubmitted.
 pub const RETENTION: time::Duration = class::MAX_TARGET
     .saturating_add(RESUBMIT_WINDOW)
@@ -70,6 +70,7 @@
     Withdrawn(StartNumber),
 }
 
+/// The records of the tasks of one job.
 #[derive(Clone, Debug)]
 struct Job {
     tasks: BTreeMap<id::TaskIndex, Record>,
@@ -91,7 +92,8 @@
 }
 
 impl Ledger {
-    /// Admits the agent to its cell, with the epoch read from the table after its row was written.
+    /// Admits the agent to its cell. `epoch` must be read from the table after the agent's own row
+    /// was written.
     ///
     /// An agent that has just started has no records, so it would accept the starts of a superseded
     /// owner again. Since it writes its row before it reads the epoch, either the agent knows the
@@ -135,8 +137,8 @@
         if !self.joined {
             return StartDecision::Refuse(code::Code::NotJoined);
         }
-        // An owner that was paused and has lost its cell meanwhile still works off its queue. Its
-        // successor raised the fence before it made any decision.
+        // An owner that was paused and has lost its cell meanwhile still sends starts from its
+        // queue. Its successor raised the fence before it made any decision.
         if epoch < self.epoch {
             return StartDecision::Refuse(code::Code::StaleEpoch);
         }
@@ -159,8 +161,8 @@
         }
     }
 
-    /// Refuses the starts of a task up to `number` from now on, unless the task was started.
-    /// Returns whether it refuses them.
+    /// Refuses the starts of a task up to `number` from now on. Returns false, and refuses nothing,
+    /// if the task was started before.
     pub fn withdraw(&mut self, now: time::Instant, id: &task::Id, number: StartNumber) -> bool {
         let tasks = &mut self.job(now, &id.job).tasks;
         let record = tasks.entry(id.index).or_insert(Record::Withdrawn(number));
@@ -174,7 +176,7 @@
     }
 
     /// Reverts the record of a start that turned out not to have run, so that the task may run
-    /// elsewhere. Returns which start it was.
+    /// elsewhere. Returns which start it was; attempt 0 if no start is recorded as running.
     pub fn revert_start(&mut self, now: time::Instant, id: &task::Id) -> order::Attempt {
         let tasks = &mut self.job(now, &id.job).tasks;
         let mut attempt = 0;
@@ -189,7 +191,8 @@
         }
     }
 
-    /// Keeps the outcome of a task until its job is acknowledged, within [`MAX_KEPT_BYTES`].
+    /// Records that a task has ended. Keeps its outcome until its job is acknowledged; if that
+    /// exceeds [`MAX_KEPT_BYTES`], drops the oldest outcomes.
     pub fn finish(
         &mut self,
         now: time::Instant,
@@ -209,7 +212,8 @@
         self.drop_oldest_answers();
     }
 
-    /// Returns the states of tasks, and withdraws those that were never started here.
+    /// Returns the states of tasks, and withdraws those that were never started here. Returns
+    /// nothing to a superseded owner, or if the agent hasn't joined its cell.
     ///
     /// A start may still be in transit on a connection that its owner has given up. Once the owner
     /// gets "withdrawn" it may start the task elsewhere, so that start must be refused when it
@@ -242,7 +246,7 @@
     }
 
     /// Closes a job that is cancelled, so that no further task of it starts. Returns its running
-    /// tasks.
+    /// tasks. Has no effect if `epoch` is that of a superseded owner.
     pub fn cancel(
         &mut self,
         now: time::Instant,
@@ -266,7 +270,8 @@
         running
     }
 
-    /// Drops a job's answers. The records that its tasks were started are kept for [`RETENTION`].
+    /// Closes a job and drops its answers, unless `epoch` is that of a superseded owner. The
+    /// records that its tasks were started are kept for [`RETENTION`].
     pub fn acknowledge(&mut self, epoch: id::Epoch, job: &id::JobKey) {
         if epoch < self.epoch {
             return;
@@ -298,7 +303,7 @@
         tasks
     }
 
-    /// Forgets jobs that were not used for [`RETENTION`] and have no running tasks.
+    /// Forgets jobs whose records were not used for [`RETENTION`] and that have no running tasks.
     pub fn forget_expired(&mut self, now: time::Instant) {
         let mut freed = 0;
         self.jobs.retain(|_, job| {
@@ -376,7 +381,7 @@
     }
 }
 
-/// Returns the bytes that an outcome counts for; at least 1, so that 0 stands for none.
+/// Returns the bytes that an outcome counts for; at least 1, since 0 means that no answer is kept.
 fn size(outcome: &task::Outcome) -> usize {
     match outcome {
         task::Outcome::Done(value) => value.get().len().max(1),
--- a/src/decide/line.rs
+++ b/src/decide/line.rs
@@ -7,13 +7,16 @@
 use crate::decide::waiting::WaitingTask;
 use crate::id;
 
-/// Wait, as a share of the run time of a job's longest task, after which the job counts as due.
+/// Share of the run time of a job's longest task by which the job may end later than if all its
+/// tasks had started on arrival. This sets the time at which each task is due.
 const ALLOWED_WAIT_SHARE: f64 = 0.25;
 
 /// The criterion by which the jobs of a line are ordered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobOrder {
-    /// By the latest time at which the next task may start for the job to end near its ideal time.
+    /// By the time at which the next task is due: the latest start with which the job can still end
+    /// near its ideal time, its arrival plus the run time of its longest task. `ALLOWED_WAIT_SHARE`
+    /// says how near. No task is due later than the job's deadline.
     Slack,
     /// By deadline plus remaining work. Among jobs with the same deadline the one that can end
     /// soonest goes first, so that few jobs are in progress at a time.
@@ -25,12 +28,14 @@
 /// The time by which a job is ordered, and its arrival number to order equal times.
 type SortKey = (time::Instant, u64);
 
+/// A job with waiting tasks in this line.
 #[derive(Clone, Debug)]
 struct Job {
     sort_key: SortKey,
     arrival: u64,
     arrived: time::Instant,
     deadline: time::Instant,
+    /// Estimated run time of the longest task that was ever added.
     longest: time::Duration,
     /// Sum of the estimated run times of the waiting tasks.
     work: time::Duration,
--- a/src/decide/needs_group.rs
+++ b/src/decide/needs_group.rs
@@ -29,7 +29,8 @@
 /// The lines of all waiting tasks that have the same needs.
 #[derive(Clone, Debug, Default)]
 pub struct NeedsGroup {
-    /// Each client account's line, with the rank under which `sorted` lists it, if it does.
+    /// Each client account's line, with the rank under which `sorted` lists it; `None` if it isn't
+    /// listed.
     pub lines: HashMap<id::ClientAccount, (Option<Rank>, line::Line)>,
     /// The client accounts whose lines aren't empty, by rank.
     pub sorted: BTreeSet<(Rank, id::ClientAccount)>,
--- a/src/decide/notice.rs
+++ b/src/decide/notice.rs
@@ -22,7 +22,8 @@
     Answer(Answer),
     /// The agent refused this start of a task and all earlier ones; none of them ran.
     Refused(order::Attempt, code::Code),
-    /// The state of a task that the owner asked for, with the start up to which it holds.
+    /// The state of a task, as a reply to [`Resolve`](order::Order::Resolve), with the attempt that
+    /// the owner asked about.
     Standing(order::Attempt, ledger::TaskState),
     /// Shows that the agent is alive. Sent when the state of the backend server changes, or when
     /// the agent has had no other message to send for a while.
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -15,7 +15,8 @@
     Start(Start),
     /// Cancels a job: no further task of it starts, and running ones are stopped if they can be.
     Cancel(id::JobKey),
-    /// The caller has received a job's answers, so the agent need not keep them.
+    /// The owner has the ending of a job, and the job's claim is in the table, so the agent need
+    /// not keep the answers.
     Acknowledge(id::JobKey),
     /// Asks for the states of these tasks. The agent withdraws those that it has never started: it
     /// refuses their starts up to the given one.
@@ -24,7 +25,7 @@
     Heartbeat,
 }
 
-/// A task, and the number of starts that the owner has sent for tasks of its job so far.
+/// One start of a task: the task, and the number of the start.
 ///
 /// The number distinguishes a start that is still in transit from one that was sent after the agent
 /// had refused the task, so that the same agent may still run the later one.
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,11 +1,11 @@
 //! The queue of a cell's waiting tasks: light client accounts first, then heavy ones by used slot
 //! time.
 //!
-//! There are no weights. Light client accounts are those whose demand fits together beside that of
-//! the largest ones ([`demand`](crate::decide::demand) classifies them). Their tasks go first, the
-//! one with the least slack before the others. The heavy ones share the remaining slots by used
-//! slot time, which decays with a time constant of [`usage::DECAY_TIME`]. `docs/design/queue.md`
-//! compares this with the baselines.
+//! No client account has a configured weight. [`demand`](crate::decide::demand) classifies them:
+//! the light ones are those with low demand, which fits into the capacity if the largest ones get
+//! only what is left. Their tasks go first, the one with the least slack before the others. The
+//! heavy ones share the remaining slots by used slot time, which decays with a time constant of
+//! [`usage::DECAY_TIME`]. `docs/design/queue.md` compares this with the baselines.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time;
@@ -20,7 +20,7 @@
 use crate::id;
 use crate::task;
 
-/// Tasks of light client accounts in a row, after which one of a heavy client account goes first,
+/// Number of tasks of light client accounts in a row after which a task of a heavy one goes first,
 /// so that heavy ones aren't starved where the light ones alone exceed the capacity for long.
 const MAX_LIGHT_STREAK: u32 = 50;
 
@@ -188,8 +188,8 @@
         all
     }
 
-    /// Adds slot time, in seconds, to a client account's use; a negative amount corrects an earlier
-    /// one.
+    /// Adds slot time, in seconds, to what a client account has used; a negative amount corrects an
+    /// earlier one.
     pub fn charge(&mut self, now: time::Instant, account: &id::ClientAccount, seconds: f64) {
         let amount = match self.policy {
             Policy::Fair | Policy::LeastUsed => seconds * self.charge_weight(now),
@@ -271,15 +271,15 @@
         self.light_seconds
     }
 
-    /// Returns the client accounts, each with its number of waiting tasks.
+    /// Returns the client accounts, each with its number of waiting tasks, which may be 0.
     pub fn client_accounts(&self) -> impl Iterator<Item = (&id::ClientAccount, usize)> {
         self.backlogs
             .iter()
             .map(|(account, backlog)| (account, backlog.tasks()))
     }
 
-    /// Returns by how much the latest job of a client account would miss its time if a job of it
-    /// were added; see [`backlog::Backlog::lateness`] for the parameters.
+    /// Returns by how much the jobs of a client account would be late if a job of it were added;
+    /// see [`backlog::Backlog::lateness`].
     pub fn lateness(
         &self,
         now: time::Instant,
@@ -386,8 +386,8 @@
         }
     }
 
-    /// Returns the weight of one second of slot time now. Lists all lines anew if the amounts were
-    /// rescaled for it.
+    /// Returns the weight of one second of slot time now. If the amounts were rescaled for it,
+    /// lists all lines under their new ranks and drops empty backlogs.
     fn charge_weight(&mut self, now: time::Instant) -> f64 {
         let (weight, rescaled) = self.usage.current_weight(now);
         if rescaled {
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -6,8 +6,8 @@
 /// Retries that each start adds to the budget.
 const RETRIES_PER_START: f64 = 0.1;
 
-/// Most retries that the budget may hold: a rack that drains returns the tasks that wait at three
-/// agents at once.
+/// Largest number of retries that the budget may hold. It must be enough for a rack that drains,
+/// which returns the tasks that wait at three agents all at once.
 const MAX_SAVED_RETRIES: f64 = 200.0;
 
 /// The retry budget of one cell.
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds the share of a retry that a start earns.
+    /// Adds `RETRIES_PER_START` retries for a start that was sent.
     pub fn earn(&mut self) {
         self.saved = (self.saved + RETRIES_PER_START).min(MAX_SAVED_RETRIES);
     }
--- a/src/decide/spread.rs
+++ b/src/decide/spread.rs
@@ -16,8 +16,8 @@
 
 use crate::id;
 
-/// Wait before taking a vacant cell, for each cell that the entry holds more than the entry with
-/// fewest.
+/// How long an entry waits before it takes a vacant cell, for each cell that it holds more than the
+/// entry with the fewest cells.
 pub const VACANT_WAIT_STEP: time::Duration = time::Duration::from_millis(400);
 
 /// Longest wait before taking a vacant cell, so that a cell isn't left for an entry that has died.
@@ -26,7 +26,7 @@
 /// Least time between two pulls of one entry. Each pull costs the cell a takeover.
 pub const MIN_PULL_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
-/// Least number of cells that an entry holds more than another when one is pulled from it.
+/// An entry may pull a cell from another one that holds at least this many cells more.
 const MIN_SURPLUS: usize = 2;
 
 /// The live entries and the cells that each holds, as one entry sees them.
@@ -87,7 +87,7 @@
     }
 
     /// Returns the cell that an entry should pull next, from the entry that holds most. Returns
-    /// `None` if the difference is too small.
+    /// `None` if that entry doesn't hold at least `MIN_SURPLUS` cells more.
     pub fn cell_to_pull(&self, me: &id::EntryId) -> Option<id::Cell> {
         let (donor, cells) = self.held.iter().max_by_key(|(_, cells)| cells.len())?;
         if donor == me || cells.len() < self.cell_count(me) + MIN_SURPLUS {
--- a/src/decide/timing.rs
+++ b/src/decide/timing.rs
@@ -38,10 +38,10 @@
     }
 }
 
-/// The times of a task or job that has ended.
+/// The times of a job that has ended, or of a task that an agent answered or refused.
 #[derive(Clone, Debug)]
 pub enum Timing {
-    /// A task for which an agent sent an answer or a refusal.
+    /// A task, for one start.
     Task(Task),
     /// A job that ended.
     Job(Job),
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Returns the weighted slot time of a client account; it compares with that of others only.
+    /// Returns the weighted slot time of a client account; it has a meaning only in comparison with
+    /// that of others.
     pub fn used_by(&self, account: &id::ClientAccount) -> f64 {
         self.used.get(account).copied().unwrap_or(0.0)
     }
