--- a/tests/decide_placement.rs
+++ b/tests/decide_placement.rs
@@ -17,7 +17,7 @@
     }
 }
 
-fn needing(number: usize, ms: u64, needs: task::Needs) -> Vec<submission::Task> {
+fn tasks_with_needs(number: usize, ms: u64, needs: task::Needs) -> Vec<submission::Task> {
     let mut tasks = fake::tasks(number, ms, ms);
     for task in &mut tasks {
         task.needs = needs;
@@ -31,7 +31,7 @@
 fn job_that_can_never_run_is_refused_at_once() {
     let mut fake = fake::open(2);
     fake.join("large", accelerators(2));
-    let job = fake.submit("town", needing(1, 100, accelerators(3)));
+    let job = fake.submit("town", tasks_with_needs(1, 100, accelerators(3)));
     let refusal = fake.refusal(job).expect("the job is refused");
     assert_eq!(refusal.code, Code::NeverRunnable);
     assert!(refusal.not_run);
@@ -44,7 +44,7 @@
     let mut fake = fake::open(2);
     fake.join("large", accelerators(2));
     fake.owner.give_up_agent(fake.now, &"large".into());
-    let early = fake.submit("town", needing(1, 100, accelerators(1)));
+    let early = fake.submit("town", tasks_with_needs(1, 100, accelerators(1)));
     fake.advance(Duration::from_secs(1));
     assert!(!fake.endings.contains_key(&early));
     fake.join("large", accelerators(2));
@@ -52,7 +52,7 @@
     assert!(fake.is_complete(early));
 
     fake.owner.give_up_agent(fake.now, &"large".into());
-    let late = fake.submit("town", needing(1, 100, accelerators(1)));
+    let late = fake.submit("town", tasks_with_needs(1, 100, accelerators(1)));
     fake.advance(fake::TARGET);
     assert_eq!(fake.refusal(late).map(|r| r.code), Some(Code::Expired));
 }
@@ -63,7 +63,7 @@
 fn tasks_with_scarce_needs_delay_no_others() {
     let mut fake = fake::open(1);
     fake.join("large", accelerators(1));
-    let scarce = fake.submit("town", needing(3, 300, accelerators(1)));
+    let scarce = fake.submit("town", tasks_with_needs(3, 300, accelerators(1)));
     let plain = fake.submit("town", fake::tasks(15, 100, 100));
     fake.advance(Duration::from_millis(150));
     assert!(fake.is_complete(plain));
@@ -78,7 +78,7 @@
     let mut fake = fake::open(3);
     fake.join("large", accelerators(2));
     for _ in 0..10 {
-        fake.submit("town", needing(2, 120, accelerators(1)));
+        fake.submit("town", tasks_with_needs(2, 120, accelerators(1)));
         fake.submit("town", fake::tasks(9, 70, 70));
         fake.advance(Duration::from_millis(90));
     }
--- a/tests/decide_queue.rs
+++ b/tests/decide_queue.rs
@@ -8,10 +8,10 @@
 
 /// Floods an owner: submits `jobs` jobs of 10 tasks of 300 ms each, one every `every`. At the
 /// intervals used here that is several times the capacity.
-fn flood(fake: &mut fake::FakeCell, account: &str, jobs: usize, every: Duration) {
+fn flood(fake: &mut fake::FakeCell, account: &str, jobs: usize, interval: Duration) {
     for _ in 0..jobs {
         fake.submit(account, fake::tasks(10, 300, 300));
-        fake.advance(every);
+        fake.advance(interval);
     }
 }
 
@@ -116,9 +116,9 @@
     let mut fake = fake::open(1);
     fake.submit("town", fake::tasks(8, 100, 100));
     fake.submit("town", fake::tasks(20, 2_000, 2_000));
-    let quote = fake.submit("village", fake::tasks(1, 50, 50));
+    let request = fake.submit("village", fake::tasks(1, 50, 50));
     fake.advance(Duration::from_millis(160));
-    assert!(fake.is_complete(quote));
+    assert!(fake.is_complete(request));
 }
 
 /// A job of 290 tasks is cancelled. Its waiting tasks must leave all counts of the queue. Each
--- a/tests/decide_release.rs
+++ b/tests/decide_release.rs
@@ -22,17 +22,17 @@
 #[test]
 fn a_complete_job_keeps_its_answer_and_drops_its_inputs() {
     let mut fake = decide_support::open(2);
-    let whole = submission(7);
+    let original = submission(7);
     fake.owner.note_ownership_proof(fake.now);
-    fake.owner.submit(fake.now, whole.clone(), 1);
+    fake.owner.submit(fake.now, original.clone(), 1);
     fake.advance(time::Duration::from_secs(2));
     assert!(fake.is_complete(1));
-    assert_eq!(Arc::strong_count(&whole), 1, "the inputs are still held");
+    assert_eq!(Arc::strong_count(&original), 1, "the inputs are still held");
 
     // What was kept is enough for resubmissions, and for cancellations that come too late.
-    fake.owner.submit(fake.now, whole.clone(), 2);
+    fake.owner.submit(fake.now, original.clone(), 2);
     fake.owner.submit(fake.now, submission(8), 3);
-    fake.owner.cancel(fake.now, &whole.key, 4);
+    fake.owner.cancel(fake.now, &original.key, 4);
     fake.advance(time::Duration::from_secs(12));
     assert!(fake.is_complete(2));
     assert_eq!(
@@ -48,9 +48,9 @@
 #[test]
 fn a_job_whose_ending_is_no_longer_kept_never_starts_again() {
     let mut fake = decide_support::open(11);
-    let whole = submission(7);
+    let original = submission(7);
     fake.owner.note_ownership_proof(fake.now);
-    fake.owner.submit(fake.now, whole.clone(), u64::MAX);
+    fake.owner.submit(fake.now, original.clone(), u64::MAX);
     fake.advance(time::Duration::from_secs(1));
     let starts = fake.starts.len();
     let others = owner::MAX_KEPT_ENDINGS + 1;
@@ -63,7 +63,7 @@
     fake.advance(time::Duration::from_secs(1));
     let before = fake.starts.len();
     assert!(before - starts > owner::MAX_KEPT_ENDINGS, "{before}");
-    fake.owner.submit(fake.now, whole, u64::MAX - 1);
+    fake.owner.submit(fake.now, original, u64::MAX - 1);
     fake.owner.submit(fake.now, submission(8), u64::MAX - 2);
     fake.owner
         .cancel(fake.now, &submission(7).key, u64::MAX - 3);
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -113,13 +113,13 @@
     let mut cluster = Cluster::open(2, 16);
     cluster.fill();
     cluster.alive.push("entry-late".into());
-    let mut pulls = 0;
+    let mut rounds = 0;
     while cluster.pull() > 0 {
-        pulls += 1;
-        assert!(pulls <= 16, "cells move for ever: {:?}", cluster.counts());
+        rounds += 1;
+        assert!(rounds <= 16, "cells move for ever: {:?}", cluster.counts());
     }
     cluster.assert_even();
-    assert_eq!(pulls, 5, "one cell a pull");
+    assert_eq!(rounds, 5, "one cell moves in each round");
 }
 
 /// A dead entry is still named as owner in rows. If live entries waited for it or pulled from it,
