--- a/tests/decide_health.rs
+++ b/tests/decide_health.rs
@@ -10,7 +10,7 @@
 const FAULT_FROM: Duration = Duration::from_secs(2);
 
 /// Submits work for 20 s, enough for about 80% of 11 workers. Returns the number of all starts, and
-/// the number of starts at each worker of the list after the fault began.
+/// for each worker in `faulty` the number of its starts after the fault began.
 fn submit_for_20_s(fake: &mut fake::FakeCell, faulty: &[&str]) -> (usize, Vec<usize>) {
     let mut from = 0;
     for i in 0..400 {
@@ -89,7 +89,7 @@
 }
 
 /// One client account sends input on which every task fails, on every worker. The workers are
-/// healthy, so the other client accounts must keep their slots.
+/// healthy, so nearly all slots must stay usable for the other client accounts.
 #[test]
 fn broken_input_of_one_client_account_bars_no_worker() {
     let mut fake = fake::open(4);
--- a/tests/decide_overload.rs
+++ b/tests/decide_overload.rs
@@ -118,8 +118,9 @@
     assert!(allowed.contains(&refusal.code), "{refusal:?}");
 }
 
-/// A single client account sends long tasks to a system that is half idle. Its own work made it
-/// count as heavy, and its second job was refused although there was a free slot for each task.
+/// A single client account sends long tasks to a system that is half idle. Its own work makes it
+/// count as heavy. Its second job must not be refused for that, since there is a free slot for each
+/// task.
 #[test]
 fn job_with_a_free_slot_for_each_task_is_never_refused() {
     let mut fake = fake::open(1);
--- a/tests/decide_queue.rs
+++ b/tests/decide_queue.rs
@@ -6,8 +6,8 @@
 
 use decide_support as fake;
 
-/// Floods an owner: submits `jobs` jobs of 10 tasks of 300 ms each, one every `every`. At the
-/// intervals used here that is several times the capacity.
+/// Submits `jobs` jobs of 10 tasks of 300 ms each, with an interval between them. At the intervals
+/// used here that is several times the capacity.
 fn flood(fake: &mut fake::FakeCell, account: &str, jobs: usize, interval: Duration) {
     for _ in 0..jobs {
         fake.submit(account, fake::tasks(10, 300, 300));
@@ -61,8 +61,9 @@
     assert_eq!(fake.starts_of("town", from), 1);
 }
 
-/// Small client accounts exceed the capacity for long. The dominant one, which asks for far more,
-/// would get no slot at all; about one task in fifty must be its own.
+/// Small client accounts exceed the capacity for long. The dominant one asks for far more, so
+/// without the limit on tasks of light client accounts in a row it would get no slot at all. About
+/// one task in fifty must be its own.
 #[test]
 fn heavy_client_account_is_never_starved() {
     let mut fake = fake::open(2);
@@ -121,8 +122,8 @@
     assert!(fake.is_complete(request));
 }
 
-/// A job of 290 tasks is cancelled. Its waiting tasks must leave all counts of the queue. Each
-/// agent that runs some of its tasks gets one order, and the others get none.
+/// A job of 290 tasks is cancelled. Its waiting tasks must no longer count in any total of the
+/// queue. Each agent that runs some of its tasks gets one order, and the others get none.
 #[test]
 fn cancelled_job_costs_one_order_an_agent() {
     let mut fake = fake::open(3);
--- a/tests/decide_support/mod.rs
+++ b/tests/decide_support/mod.rs
@@ -1,5 +1,5 @@
 //! An owner with fake agents in virtual time. By default a task runs for the milliseconds in its
-//! input and succeeds; a closure can decide otherwise.
+//! input and succeeds; a test can set a [`Behavior`] that decides otherwise.
 
 #![allow(dead_code)]
 
@@ -18,7 +18,7 @@
 use lovagemill::task;
 use serde_json::value::{to_raw_value, RawValue};
 
-/// The class of all jobs here.
+/// The class of all jobs that these tests submit.
 pub const CLASS: &str = "check";
 /// The target of that class.
 pub const TARGET: time::Duration = time::Duration::from_secs(8);
@@ -29,7 +29,7 @@
 
 /// When and how a start ends.
 pub struct TaskEnd {
-    /// Run time.
+    /// Time from the start to the answer or refusal.
     pub after: time::Duration,
     pub outcome: Result<(), code::Code>,
 }
@@ -73,7 +73,7 @@
     last_number: u64,
 }
 
-/// A configuration with the class of all jobs here.
+/// A configuration whose only class is [`CLASS`].
 pub fn config() -> Arc<class::Versioned> {
     let class = class::Class {
         name: CLASS.into(),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Creates an owner with that many workers of 8 slots each.
+/// Creates an owner with `workers` workers of 8 slots each.
 pub fn open(workers: usize) -> FakeCell {
     let started_at = time::Instant::now() + time::Duration::from_secs(1_000);
     let wall = time::Duration::from_secs(1_700_000_000);
@@ -303,6 +303,7 @@
         self.starts.push((agent.clone(), start.id.clone()));
         let end = (self.behavior)(&agent, &start, self.now - self.started_at);
         self.last_number += 1;
+        // A start that never ends by itself gets its outcome from a cancellation, in `stop`.
         let outcome = end.as_ref().map_or(Ok(()), |end| end.outcome);
         if let Some(end) = end {
             self.ends
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -105,9 +105,9 @@
     cluster.assert_even();
 }
 
-/// All cells were taken while an entry restarted. Without pulls users would see it idle from then
-/// on. It must pull cells one by one until no entry holds two more than it, and then no cell may
-/// move.
+/// All cells were taken while an entry restarted, so it holds none. Without pulls users would see
+/// it stay idle. It must pull cells one by one until no entry holds two more than it, and then no
+/// cell may move.
 #[test]
 fn a_new_entry_gets_its_share_and_then_no_cell_moves() {
     let mut cluster = Cluster::open(2, 16);
