--- a/src/decide/besteffort/asking.rs
+++ b/src/decide/besteffort/asking.rs
@@ -1,8 +1,8 @@
 //! Chooses the agents that an entry asks for room when work waits.
 //!
-//! Made for bursts that exceed the room of the backend servers, with many entries and agents. If every entry
-//! heard of each slot that becomes free, all would send a start to it at once, and all but one start would
-//! come back. So an entry asks a few agents, and an agent lends free room to one of the entries that asked.
+//! In a burst that exceeds the room of the backend servers, many entries have work waiting. If every entry
+//! heard of each slot that becomes free, all would send a start to it at once, and the agent would return all
+//! but one. So an entry asks a few agents, and an agent lends free room to one of the entries that asked.
 //! The waiting work is part of every message that is sent anyway; only the first few agents get a message for
 //! it alone.
 
@@ -19,19 +19,20 @@
 /// failure domains and one pass of a busy entry.
 const ASK_PAUSE: time::Duration = time::Duration::from_millis(10);
 
-/// What the agents have been told of this entry's waiting work.
+/// Records which waiting work this entry has announced to each agent.
 #[derive(Debug, Default)]
 pub struct RoomRequests {
     /// By link, the priority of the waiting work as the agent was told.
     told_priorities: BTreeMap<LinkNo, u32>,
     /// The link that was asked last; the links after it are asked next.
     last_asked: LinkNo,
+    /// When agents were last asked.
     asked_at: time::Duration,
 }
 
 impl RoomRequests {
-    /// Records that a message was sent on a link, and which priority of waiting work it told; none if nothing
-    /// waited.
+    /// Records that a message was sent on a link, and the priority of the waiting work that it announced;
+    /// none if nothing waited.
     pub fn message_sent(&mut self, link: LinkNo, priority: Option<u32>) {
         match priority {
             Some(priority) => self.told_priorities.insert(link, priority),
--- a/src/decide/besteffort/board/agents.rs
+++ b/src/decide/besteffort/board/agents.rs
@@ -9,15 +9,15 @@
 use crate::decide::besteffort::view::AgentView;
 use crate::id;
 
-/// By how much a job's run numbers jump after a start that didn't begin. Run numbers are drawn from a clock
-/// in milliseconds: this is one second.
+/// How far a job's next run number is raised after a run that never began. The first run number comes from
+/// a clock in milliseconds, so that this is one second.
 const RUN_NUMBER_STEP: u64 = 1_000;
 
 /// How long a process that was suspended waits for messages before it closes links to silent agents. Each
 /// agent sends within one and a quarter heartbeats (150 ms), asked or not.
 const RESUME_GRACE: time::Duration = time::Duration::from_millis(200);
 
-/// Time without a new link after which an entry counts as linked to all agents that are there. A failed
+/// Time without a new link after which the entry counts as linked to all agents that it can reach. A failed
 /// connect of an agent and the pause after it take 130 ms.
 const LINKS_QUIET_FOR: time::Duration = time::Duration::from_millis(150);
 
@@ -26,8 +26,8 @@
 const MAX_LINKS_WAIT: time::Duration = time::Duration::from_millis(800);
 
 impl Board {
-    /// Takes in that an agent has connected and has named its runs of this entry. A run that it doesn't name
-    /// is lost.
+    /// Records that an agent has connected and has listed its runs of this entry. A run that it doesn't list
+    /// is lost, and its task is queued again.
     pub fn agent_up(&mut self, now: time::Duration, link: LinkNo, hello: &Hello) {
         let known = self.agents.get(&hello.agent);
         if let Some(old) = known.and_then(|view| view.link) {
@@ -42,7 +42,7 @@
         });
         if view.incarnation != incarnation {
             // The backend server that an earlier incarnation of the agent announced may be unknown to this
-            // one. Starts would go to it and come back one after the other.
+            // one. The agent would return each start for it.
             *view = AgentView::open(self.policy.barring, agent.clone(), incarnation, now);
         }
         view.failure_domain = hello.failure_domain.clone();
@@ -60,8 +60,9 @@
         }
     }
 
-    /// Whether the entry has been linked to its agents after its start: no new link has come up for a moment.
-    /// Before that the entry knows too little of the room, and would refuse work that the next agent accepts.
+    /// Whether the entry has had time to link to its agents since its start: no new link has come up for
+    /// [`LINKS_QUIET_FOR`], or [`MAX_LINKS_WAIT`] has passed. Before that the entry knows too little of the
+    /// room, and would refuse work that the next agent to connect accepts.
     pub fn has_found_agents(&self, now: time::Duration) -> bool {
         let has_waited_long = self
             .first_tick_at
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Takes in a message of an agent.
+    /// Applies a message from an agent: its room, crashes, ended runs and progress. Then places waiting
+    /// tasks.
     pub fn handle_message(&mut self, now: time::Duration, link: LinkNo, message: &AgentMessage) {
         let Some(agent) = self.links.get(&link).cloned() else {
             return;
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Records crashes of an agent's backend server. A job with a task that was present each time fails
-    /// before the task can go to another backend server.
+    /// Records crashes of an agent's backend server, and fails the jobs whose tasks count as their cause
+    /// before these tasks can start on another backend server.
     fn record_crashes(&mut self, now: time::Duration, agent: &str, crashes: &[Crash]) {
         let Some(incarnation) = self.agents.get(agent).map(|view| view.incarnation) else {
             return;
@@ -138,7 +140,7 @@
         self.fail_crashing_jobs(now, crashes);
     }
 
-    /// Fails the jobs whose tasks are the cause of one of `crashes`.
+    /// Fails the jobs suspected of one of `crashes` of which some task counts as a cause of crashes.
     pub(super) fn fail_crashing_jobs(&mut self, now: time::Duration, crashes: &[Crash]) {
         for name in crashes.iter().flat_map(Crash::suspects) {
             let Some(no) = self.find_job(&name.job) else {
@@ -162,7 +164,7 @@
             "job is given up since backend servers crash under its task");
     }
 
-    /// Takes in that the link to an agent is gone. The agent's runs may go on for
+    /// Records that the link to an agent has ended. The agent's runs may continue for
     /// [`Bounds::runs_end_within`](crate::decide::besteffort::lease::Bounds::runs_end_within).
     pub fn agent_down(&mut self, now: time::Duration, link: LinkNo) {
         let Some(agent) = self.links.remove(&link) else {
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Returns a run if, by the entry's knowledge, the agent has it.
+    /// Returns a run and its job's number if the entry has placed the run on this agent.
     pub(super) fn placed_run(&mut self, run: &Run, agent: &str) -> Option<(JobNo, &mut PlacedRun)> {
         let no = *self.by_id.get(&run.job)?;
         let job = self.jobs.get_mut(&no)?;
@@ -296,8 +298,8 @@
     }
 
     /// Closes the links to silent agents, but not right after this process was suspended. What the agents
-    /// sent meanwhile still waits in the sockets, and closing the links would leave open which of their runs
-    /// go on.
+    /// sent meanwhile still waits in the sockets, and after closing the links the entry couldn't tell which
+    /// of their runs continue.
     pub(super) fn close_silent_links(&mut self, now: time::Duration) {
         if now < self.resumed_at + RESUME_GRACE {
             return;
--- a/src/decide/besteffort/board/mod.rs
+++ b/src/decide/besteffort/board/mod.rs
@@ -31,8 +31,8 @@
 use crate::id;
 use crate::metrics;
 
-/// Time after which a caller may submit again where no backend server accepts work: one that restarts is
-/// known after about one heartbeat of its own.
+/// Time after which the caller of a refused job may submit it again where no wait is forecast. A backend
+/// server that restarts is known after about one of its heartbeats.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(1_000);
 
 /// How long the entry starts nothing after its process was suspended. In that time the sockets show which
@@ -65,7 +65,7 @@
     pub starts: u64,
     /// Starts of tasks that had been sent to an agent before.
     pub starts_again: u64,
-    /// Runs that came back without having begun.
+    /// Runs that an agent returned without having begun them.
     pub bounced: u64,
     /// Runs that failed.
     pub failed_runs: u64,
@@ -142,7 +142,8 @@
     subset: Subset,
     /// When the links are reviewed next.
     review_at: time::Duration,
-    /// The search for agents beyond the base while work waits.
+    /// The state of opening links beyond the base while work waits; see
+    /// [`subset`](crate::decide::besteffort::subset).
     extra_links: reach::ExtraLinks,
     /// Jobs that wait for links.
     parked: Vec<reach::Parked>,
@@ -287,13 +288,13 @@
         None
     }
 
-    /// Refuses from now on each job that may not have ended at `by`. A job sometimes takes twice its
-    /// estimate.
+    /// Makes the board refuse each new job that may not have ended at `by`, allowing twice its estimated run
+    /// time, since a job sometimes takes that long.
     pub fn stop_by(&mut self, by: time::Duration) {
         self.stop_by = Some(by);
     }
 
-    /// Drops a job whose caller has left, and stops its runs.
+    /// Removes a job whose caller has disconnected, and stops its runs.
     pub fn caller_left(&mut self, now: time::Duration, no: JobNo) {
         if let Some(job) = self.jobs.get(&no) {
             log::info!(job = job.submission.job.as_str(), class = job.submission.class.as_str(),
@@ -314,7 +315,7 @@
         waiting.filter(|job| job.submission.class == class).count()
     }
 
-    /// Counts the agents by what is known of them.
+    /// Returns the numbers of agents that are listed, known, linked and ready for work.
     pub fn membership(&self, now: time::Duration) -> Membership {
         let linked = || self.agents.values().filter(|view| view.link.is_some());
         let heard = linked().map(|view| view.heard_at).min();
@@ -338,7 +339,7 @@
         self.no_starts_until = now + RESUME_PAUSE;
     }
 
-    /// Applies every time limit. The driver calls it in short intervals against the shortest of them.
+    /// Applies every time limit. The driver calls it at intervals much shorter than the shortest limit.
     pub fn tick(&mut self, now: time::Duration) {
         self.first_tick_at.get_or_insert(now);
         self.close_silent_links(now);
--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -1,9 +1,9 @@
 //! Chooses the agent for a task, and forecasts how long a job waits.
 //!
-//! Made for the usual load and for bursts. Work waits at the entry, ordered by the urgency of its class and
+//! Under the usual load and in bursts alike, work waits at the entry, ordered by the urgency of its class and
 //! then by the latest start that still meets its target. A task goes to an agent only when the agent has
 //! room, so that no queue builds up behind a slow backend server. Among the agents with room where the task
-//! ends about as early as anywhere, one is drawn.
+//! is expected to end about as early as anywhere, [`draw`] picks one at random.
 
 use std::ops;
 use std::time;
@@ -18,18 +18,18 @@
 use crate::decide::besteffort::view::AgentView;
 use crate::id;
 
-/// Shortest mean time that the forecast reckons with for a run, in seconds; keeps the rate finite.
+/// Lower bound of the mean run time in the forecast, in seconds; keeps the rate finite.
 const MIN_RUN_SECONDS: f64 = 0.001;
 
 /// Longest wait that is forecast, in seconds.
 const MAX_WAIT_SECONDS: f64 = 60.0;
 
-/// What a new job has to expect.
+/// The forecast of a new job's wait, and the figures behind it.
 #[derive(Clone, Copy, Debug)]
 pub struct Forecast {
     /// How long its last task waits for room.
     pub wait: time::Duration,
-    /// Room that work ahead of it in the queue asks for, in thousandths of a core.
+    /// Room that the tasks ahead of it in the queue need, in thousandths of a core.
     pub room_ahead: f64,
     /// Room that this entry gets per second, less what more urgent work takes, in thousandths of a core.
     pub room_rate: f64,
@@ -63,8 +63,8 @@
             && submission.required_label.as_ref().is_none_or(has_label)
     }
 
-    /// Forecasts how long a new job waits until all its tasks have room, from the room that work ahead of it
-    /// asks for and the rate at which this entry has lately got room.
+    /// Forecasts how long a new job waits until all its tasks have room, from the room that the tasks ahead
+    /// of it need and the rate at which this entry has lately got room.
     pub(super) fn forecast_wait(&self, now: time::Duration, job: &Job) -> Forecast {
         let (mut share, mut free) = (0.0, 0);
         for view in self.large_enough_agents(job) {
@@ -187,8 +187,8 @@
         true
     }
 
-    /// Chooses among the agents with room where the task is expected to end first. Those where it ends about
-    /// as soon are drawn from; see [`draw`].
+    /// Picks one of the agents where the task is expected to end about as early as anywhere, at random in
+    /// proportion to their free room; see [`draw`].
     fn choose_agent(
         &self,
         now: time::Duration,
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -1,8 +1,9 @@
-//! Which agents the board may place work on: the listed ones, and links beyond the base for work that has no
-//! room there.
+//! Keeps the list of agents that the entry may link to, and opens links beyond the base for work that has no
+//! room there; see [`subset`](crate::decide::besteffort::subset).
 //!
-//! Made for a burst in one failure domain, an entry with many times the callers of others, and work that
-//! suits only a few backend servers: room that exists anywhere is found within some tens of milliseconds.
+//! In a burst in one failure domain, at an entry with many times the callers of others, and for work that
+//! suits only a few backend servers, the entry so finds room that exists anywhere within some tens of
+//! milliseconds.
 
 use std::time;
 
@@ -23,18 +24,18 @@
     until: time::Duration,
 }
 
-/// The search for agents beyond the base while work waits.
+/// The state of opening links to agents beyond the base while work waits.
 #[derive(Debug, Default)]
 pub(super) struct ExtraLinks {
-    /// Whether work waits.
+    /// Whether work that isn't late waited when [`Board::open_extra_links`] last looked.
     is_waiting: bool,
     /// When links to more agents may be opened next.
     next_at: time::Duration,
-    /// Whether the agents of the latest extra links had no room either.
+    /// Whether the agents of the latest extra links took less than one task each.
     had_no_room: bool,
     /// The agents of the latest extra links.
     opened: Vec<id::AgentId>,
-    /// When these agents are judged even though their links aren't up.
+    /// When the room of these agents is assessed even if some links are still opening.
     judge_at: time::Duration,
 }
 
@@ -46,27 +47,27 @@
 }
 
 impl Board {
-    /// Takes in that an agent is listed, or that its listing has changed.
+    /// Records that the platform lists an agent, or that its listing has changed.
     pub fn list_agent(&mut self, listed: ListedAgent) {
         let change = self.subset.list_agent(listed);
         self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
 
-    /// Takes in that an agent isn't listed any more.
+    /// Records that the platform no longer lists an agent.
     pub fn unlist_agent(&mut self, agent: &str) {
         let change = self.subset.unlist_agent(agent);
         self.push_link_changes(change);
         self.review_at = time::Duration::ZERO;
     }
 
-    /// Takes in that no link to an agent could be opened.
+    /// Records that no link to an agent could be opened.
     pub fn agent_unreachable(&mut self, now: time::Duration, agent: &str) {
         self.subset.link_down(now, agent);
         self.resume_parked_jobs(now);
     }
 
-    /// Takes in a crash that an agent has reported, but not on a link to this entry.
+    /// Records a crash that this entry has learned of otherwise than over a link to the agent.
     pub fn crash_reported(
         &mut self,
         now: time::Duration,
@@ -139,8 +140,8 @@
         self.push_link_changes(changes);
     }
 
-    /// Returns the factor by which the room of the linked agents is counted for waiting work, since links to
-    /// more agents can be opened.
+    /// Returns the factor by which the forecast multiplies the linked agents' room, since links to more
+    /// agents can be opened; 1 while the latest extra links have shown that there is no more room.
     pub(super) fn reach_factor(&self, now: time::Duration) -> f64 {
         if self.extra_links.had_no_room && now < self.extra_links.next_at {
             1.0
@@ -150,7 +151,7 @@
     }
 
     /// Opens links for a new job where no linked agent suits it, or where none near its data has room.
-    /// Returns the agents that the job had better wait for.
+    /// Returns the agents whose links the job waits for.
     fn open_links_for(&mut self, now: time::Duration, job: &Job) -> Vec<id::AgentId> {
         let max = self.policy.subset.links_for_job;
         let submission = &job.submission;
--- a/src/decide/besteffort/board/rescue.rs
+++ b/src/decide/besteffort/board/rescue.rs
@@ -1,8 +1,8 @@
 //! Moves runs off backend servers that stall or become slow.
 //!
 //! The first run is stopped, and the next one begins only when the first is known to have ended, so that two
-//! runs of a task never coincide. This is for backend servers that slow down six- to eightfold, or stall for
-//! seconds, while their heartbeats are good: a task of 60 to 900 ms can't wait until a health check notices.
+//! runs of a task never overlap. Backend servers may slow down six- to eightfold, or stall for seconds, while
+//! their heartbeats are good: a task of 60 to 900 ms can't wait until a health check notices.
 
 use std::time;
 
@@ -11,7 +11,7 @@
 use crate::decide::besteffort::message::{Progress, Run};
 
 impl Board {
-    /// Takes in the progress of a run, and moves the run where the task then ends sooner.
+    /// Records the progress of a run, and moves the run if its task is expected to end sooner elsewhere.
     pub(super) fn record_progress(
         &mut self,
         now: time::Duration,
--- a/src/decide/besteffort/crashes.rs
+++ b/src/decide/besteffort/crashes.rs
@@ -30,10 +30,10 @@
 /// How long a crash is remembered: longer than callers take to submit a job again.
 pub const REMEMBERED_FOR: time::Duration = time::Duration::from_secs(15);
 
-/// Most crashes that are remembered.
+/// Largest number of crashes that are remembered; a new one then replaces the oldest.
 const MAX_REMEMBERED: usize = 512;
 
-/// Whether a task with so many points has to run on probation at first.
+/// Whether the next run of a task with so many points starts on probation.
 pub fn is_suspect(points: u32) -> bool {
     points >= LIKELY_POINTS
 }
@@ -46,7 +46,7 @@
     id: CrashId,
     at: time::Duration,
     crash: Crash,
-    /// Tasks that were suspected of the crash before its cause was known.
+    /// Likely suspects that were cleared when the cause of the crash became known.
     cleared: Vec<TaskName>,
 }
 
@@ -61,7 +61,8 @@
 }
 
 impl Crashes {
-    /// Records an agent's report of a crash. It replaces an earlier report of the same crash.
+    /// Records an agent's report of a crash. It replaces an earlier report of the same crash, and withdraws
+    /// that one if it names no suspects.
     pub fn record(
         &mut self,
         now: time::Duration,
@@ -86,7 +87,8 @@
         self.clear_innocent();
     }
 
-    /// Returns the points of a task; at least those of a suspect where the task was cleared of a crash.
+    /// Returns the points of a task. A task that was cleared of a crash has at least [`LIKELY_POINTS`], so
+    /// that it still runs on probation.
     pub fn suspicion(&self, job: &str, task: id::TaskIndex) -> u32 {
         if self.known.is_empty() {
             return 0;
@@ -110,7 +112,7 @@
         causes.map(|(task, _)| *task).min()
     }
 
-    /// Returns the agents whose backend servers have crashed under a task, for the log.
+    /// Returns the agents whose crashed backend servers had a task that is still suspected, for the log.
     pub fn crashed_agents(&self, job: &str, task: id::TaskIndex) -> Vec<&str> {
         let is_this_task = |name: &TaskName| name.job == job && name.task == task;
         let crashes = self.known.iter();
--- a/src/decide/besteffort/draw.rs
+++ b/src/decide/besteffort/draw.rs
@@ -1,8 +1,8 @@
 //! Draws one of several agents that suit a task equally well, in proportion to the room there.
 //!
-//! Made for many entries at an ordinary load. What an entry knows of an agent's room is up to a heartbeat
-//! old. If each took the agent that looks emptiest, all would take the same one until its next message:
-//! starts would come back, and jobs would be late with nothing waiting (`tests/besteffort_load`).
+//! What an entry knows of an agent's room is up to a heartbeat old. If each of many entries chose the agent
+//! with the most free room, all would choose the same one until its next message: even at an ordinary load,
+//! the agent would return starts, and jobs would be late with nothing waiting (`tests/besteffort_load`).
 
 use xxhash_rust::xxh3;
 
--- a/src/decide/besteffort/evacuation.rs
+++ b/src/decide/besteffort/evacuation.rs
@@ -47,7 +47,7 @@
 }
 
 impl Evacuations {
-    /// Takes in a reading, unless it is older than what is known. Returns whether any domain was evacuated or
+    /// Applies a reading, unless it is older than what is known. Returns whether any domain was evacuated or
     /// taken back.
     pub fn update(&mut self, reading: &StoreReading) -> bool {
         if reading.version < self.version {
@@ -83,8 +83,8 @@
 }
 
 impl DomainState {
-    /// Takes in another state of the same domain; the one read at the newer version holds. Returns whether
-    /// this evacuated the domain or took it back.
+    /// Adopts another state of the same domain unless it was read at an older version. Returns whether
+    /// this evacuated the domain or took it back into service.
     pub fn update(&mut self, other: DomainState) -> bool {
         if other.version < self.version {
             return false;
--- a/src/decide/besteffort/flow.rs
+++ b/src/decide/besteffort/flow.rs
@@ -12,9 +12,10 @@
 /// and short against a burst (3 to 4 s).
 const WINDOW: time::Duration = time::Duration::from_millis(500);
 
-/// An amount per time that decays exponentially.
+/// A rate that is averaged over the past with exponentially decaying weight.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
+    /// The decayed sum of all amounts, as of `updated_at`.
     sum: f64,
     updated_at: time::Duration,
 }
@@ -35,11 +36,14 @@
     }
 }
 
-/// The rates of room asked for and taken, in thousandths of a core per second.
+/// The rates of room asked for and taken; room is in thousandths of a core.
 #[derive(Clone, Debug, Default)]
 pub struct Flow {
+    /// Room that queued jobs need, by priority.
     asked: BTreeMap<u32, Rate>,
+    /// Room of started tasks.
     started_room: Rate,
+    /// Room of started tasks times their run times in seconds.
     started_work: Rate,
 }
 
@@ -49,7 +53,7 @@
         self.asked.entry(priority).or_default().add(now, room);
     }
 
-    /// Counts a task that was started in this much room, for about so long.
+    /// Counts a task that was started in this much room, with its estimated run time.
     pub fn task_started(&mut self, now: time::Duration, room: f64, run_time: time::Duration) {
         self.started_room.add(now, room);
         self.started_work.add(now, room * run_time.as_secs_f64());
@@ -66,7 +70,8 @@
         self.started_room.per_second(now)
     }
 
-    /// Returns how long room is taken on average, in seconds; `otherwise` before anything was started.
+    /// Returns the mean run time of started tasks, weighted by their room, in seconds; `otherwise` before
+    /// anything was started.
     pub fn mean_run_seconds(&self, now: time::Duration, otherwise: f64) -> f64 {
         let room = self.started_room.per_second(now);
         if room > 0.0 {
--- a/src/decide/besteffort/job.rs
+++ b/src/decide/besteffort/job.rs
@@ -19,7 +19,8 @@
 /// Priority of work whose target can't be met any more; it goes behind every class.
 pub const LATE_PRIORITY: u32 = u32::MAX;
 
-/// The order of waiting tasks: urgency of the class, then the latest start that meets the target.
+/// Orders the waiting tasks: by priority, then the latest start that meets the target, the job and the
+/// task's index.
 pub type QueueKey = (u32, time::Duration, JobNo, id::TaskIndex);
 
 /// A job as its caller asked for it, with what the configuration says of its class.
@@ -49,9 +50,9 @@
     pub max_attempts: u32,
     /// Urgency of the class; 0 goes first.
     pub priority: u32,
-    /// The target, as a multiple of the run time.
+    /// The target for the time until the answer: this multiple of the run time, plus `slack`.
     pub stretch: f64,
-    /// Time that is added to that multiple.
+    /// The constant part of the target; see `stretch`.
     pub slack: time::Duration,
     /// When the caller stops waiting.
     pub deadline: time::Duration,
@@ -168,7 +169,7 @@
     /// The latest start of a task that still meets the target. Where the target can't be met any more, the
     /// latest start that still lets the answer arrive before the deadline.
     pub latest_start: time::Duration,
-    /// The number of the next run.
+    /// The number that the next run of any of the tasks gets.
     pub next_run_number: RunNumber,
     /// Number of starts sent, over all tasks.
     pub starts_sent: u32,
@@ -223,7 +224,7 @@
         self.starts_sent == 0 && now > self.latest_start
     }
 
-    /// Whether the target had already passed when the job arrived.
+    /// Whether the target couldn't be met any more when the job arrived.
     pub fn is_late(&self) -> bool {
         self.priority == LATE_PRIORITY
     }
--- a/src/decide/besteffort/learn.rs
+++ b/src/decide/besteffort/learn.rs
@@ -1,4 +1,5 @@
-//! Learns from run times how far declared run times are off, by class, and how fast each agent works.
+//! Learns from observed run times how long the tasks of each class run, and how fast each agent's backend
+//! server is.
 
 use std::collections::HashMap;
 use std::time;
@@ -8,7 +9,7 @@
 use crate::decide::besteffort::policy;
 use crate::id;
 
-/// Shortest run time that is distinguished, in seconds.
+/// Lower bound of run times, in seconds; keeps their logarithms finite.
 const MIN_SECONDS: f64 = 0.001;
 
 /// What was learned from run times.
@@ -20,11 +21,12 @@
     /// By agent, the logarithm of the run time over the estimate. Only differences between agents count: what
     /// all have in common shows that the estimates are off.
     agents: HashMap<id::AgentId, f64>,
+    /// Median of the values in `agents`.
     median: f64,
 }
 
 impl RunTimes {
-    /// Opens the state before any run has ended.
+    /// Returns the state in which nothing has been learned yet.
     pub fn open(policy: policy::Learning) -> RunTimes {
         RunTimes {
             policy,
@@ -34,7 +36,8 @@
         }
     }
 
-    /// Returns how long a task runs on a typical backend server.
+    /// Returns the expected run time of a task on a backend server of median speed: the declared time,
+    /// weighted against the mean of the class once there is one.
     pub fn estimate(&self, class: &str, declared: time::Duration) -> time::Duration {
         let declared = declared.as_secs_f64().max(MIN_SECONDS).ln();
         let seconds = match self.classes.get(class) {
@@ -47,14 +50,14 @@
         time::Duration::from_secs_f64(seconds.exp())
     }
 
-    /// Returns by which factor runs at an agent take longer than usual.
+    /// Returns the factor by which runs at an agent take longer than at the median agent.
     pub fn slowness(&self, agent: &str) -> f64 {
         let agent_log = self.agents.get(agent).copied().unwrap_or(self.median);
         let (least, most) = self.policy.slowness_bounds;
         (agent_log - self.median).exp().clamp(least, most)
     }
 
-    /// Takes in the run time of a task that is done.
+    /// Learns from the run time of a task that is done.
     pub fn record_run(
         &mut self,
         class: &str,
@@ -72,7 +75,7 @@
         self.record_ratio(agent, ratio, self.policy.agent_gain);
     }
 
-    /// Takes in a ratio of actual to expected run time at an agent, with weight `gain`.
+    /// Learns from a ratio of actual to expected run time at an agent, with weight `gain`.
     pub fn record_ratio(&mut self, agent: &str, ratio: f64, gain: f64) {
         let agent_log = self.agents.entry(agent.into()).or_insert(self.median);
         let (least, most) = self.policy.slowness_bounds;
@@ -80,8 +83,8 @@
         *agent_log += gain * (ratio - *agent_log);
     }
 
-    /// Recomputes the median of the agents, and moves each agent a little towards it. To be called fifty
-    /// times a second.
+    /// Recomputes the median of the agents, and moves each agent a little towards it. The move per call is
+    /// chosen for fifty calls a second.
     pub fn update_median(&mut self) {
         let mut all: Vec<f64> = self.agents.values().copied().collect();
         all.sort_unstable_by(f64::total_cmp);
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Forgets the speed of an agent, since its backend server was replaced.
+    /// Forgets the speed of an agent whose backend server was replaced, or that is no longer known.
     pub fn forget_agent(&mut self, agent: &str) {
         self.agents.remove(agent);
     }
--- a/src/decide/besteffort/lease.rs
+++ b/src/decide/besteffort/lease.rs
@@ -3,7 +3,8 @@
 //! A caller whose connection broke submits the same job again, to any entry, after [`RESUBMIT_AFTER`] at the
 //! earliest. By then every run of the first submission must have ended, whichever process died, stalled,
 //! slowed down or was cut off. Two waits can follow one another: an agent takes [`SILENCE`] to give up a
-//! silent entry, and where the agent itself stops in the meantime, its backend server goes on for [`LEASE`].
+//! silent entry, and where the agent itself stops in the meantime, its backend server keeps its runs for
+//! [`LEASE`].
 //! `docs/design/besteffort.md` adds them up.
 
 use std::time;
@@ -15,7 +16,7 @@
 /// the pause of a machine that has used up its share of the processor (100 ms).
 pub const SILENCE: time::Duration = time::Duration::from_millis(400);
 
-/// How long a backend server goes on without its agent.
+/// How long a backend server lets its runs continue without a renewal from its agent.
 pub const LEASE: time::Duration = time::Duration::from_millis(650);
 
 /// How many times slower than true time a backend server's clock may run: by 2%.
@@ -84,12 +85,12 @@
         Ok(())
     }
 
-    /// Returns the longest time that a backend server goes on after the last message of its agent.
+    /// Returns the longest time that runs continue on a backend server after the last renewal from its agent.
     pub fn lease_lapses_within(&self) -> time::Duration {
         self.lease.mul_f64(SLOW_CLOCK_FACTOR) + MAX_STOP_TIME
     }
 
-    /// Returns the longest time that a run goes on after the last message of its entry that reached the
+    /// Returns the longest time that a run continues after the last message of its entry that reached the
     /// agent.
     pub fn runs_end_within(&self) -> time::Duration {
         self.silence + self.lease_lapses_within() + DELAY_MARGIN
@@ -103,7 +104,8 @@
     /// The backend server's clock minus the agent's at the last answer, in milliseconds. It is too small by
     /// the time that the answer was on its way.
     offset: Option<i64>,
-    /// Until when the backend server may go on, on the agent's clock; by the latest order that was sent.
+    /// Latest end of the lease that the agent has granted in any order, on the agent's clock, whether or not
+    /// the order arrived.
     granted_until: time::Duration,
     /// When the latest order that was answered had been sent.
     confirmed_at: time::Duration,
@@ -111,8 +113,9 @@
     answered_at: time::Duration,
 }
 
-/// Part of the lease during which renewals still extend it after the last one that was answered. Where the
-/// backend server is silent for longer its lease must run out, so that it is known when its runs have ended.
+/// For which part of the lease, from when the last answered order was sent, the agent goes on renewing. It
+/// lets the lease of a backend server that is silent for longer run out, so that it knows when the runs there
+/// have ended.
 const UNCONFIRMED_PART: f64 = 0.75;
 
 impl Lease {
@@ -127,9 +130,9 @@
         }
     }
 
-    /// Returns the lease of the next incarnation under the same id. An order or renewal that was meant for
-    /// the earlier incarnation may have reached the next one. On its clock the end of that lease may lie
-    /// further ahead, but it was shortened to the longest lease.
+    /// Returns the lease of the next incarnation under the same id. An order or renewal meant for the earlier
+    /// incarnation may have reached the next one. By the next one's clock that lease may end later than
+    /// intended, but the backend server has shortened it to the longest lease.
     pub fn next_incarnation(&self) -> Lease {
         let may_be_longer = self.bounds.longest_lease.mul_f64(SLOW_CLOCK_FACTOR) + DELAY_MARGIN;
         Lease {
@@ -138,13 +141,13 @@
         }
     }
 
-    /// Whether the lease ends later than one granted now would. A run that begins under it could go on beside
-    /// its successor if the agent dies.
+    /// Whether the lease ends later than one granted now would. If the agent died, a run that began under
+    /// such a lease could overlap the task's next run.
     pub fn outlasts_new_lease(&self, now: time::Duration) -> bool {
         self.granted_until > now + self.bounds.lease
     }
 
-    /// Takes in the backend server's clock from an answer to an order that was sent at `sent`.
+    /// Records the backend server's clock from an answer to an order that was sent at `sent`.
     pub fn record_answer(&mut self, sent: time::Duration, now: time::Duration, clock_ms: u64) {
         let offset = clock_ms as i64 - now.as_millis() as i64;
         self.offset = Some(offset);
@@ -180,7 +183,8 @@
         Some(now.saturating_sub(self.answered_at))
     }
 
-    /// Whether the last answered renewal is older than `after`, so that one more is worth a call of its own.
+    /// Whether the last answered renewal is older than `after`, so that the agent
+    /// makes a call only to renew the lease.
     pub fn is_renewal_overdue(&self, now: time::Duration, after: time::Duration) -> bool {
         now > self.confirmed_at + after
     }
--- a/src/decide/besteffort/message.rs
+++ b/src/decide/besteffort/message.rs
@@ -1,8 +1,8 @@
 //! Messages between entries and agents about best-effort jobs; each is one line of JSON on the wire.
 //!
 //! The entry opens the connection. Each side gathers what is due at the moment into one message, and sends at
-//! least one per heartbeat. A message of the entry repeats the agent's clock as last received, so that the
-//! agent can tell how old the message is, however long the network delayed it.
+//! least one per heartbeat. A message from the entry repeats the agent's clock as last received, so that the
+//! agent has an upper bound on the message's age, however long the network delayed it.
 
 use std::fmt;
 
@@ -68,7 +68,8 @@
 /// Reports that a backend server has crashed, and which tasks may have caused it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Crash {
-    /// Counts the incarnations of the backend server that this incarnation of the agent has had beside it.
+    /// Number of the backend server's incarnation that crashed. This incarnation of the agent counts the
+    /// incarnations of its backend server.
     pub server: u64,
     /// Suspects that were on probation on the server while nothing else began. Where there are any, the other
     /// two lists are empty.
@@ -350,7 +351,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub entry: Option<EntryIncarnation>,
     /// Counts the links that the entry has opened, in the first message of a link only. Of two links of one
-    /// entry the later one counts.
+    /// entry the agent uses the later one.
     #[serde(default, skip_serializing_if = "is_none")]
     pub link: u64,
     /// The work that waits at the entry for room, if any.
--- a/src/decide/besteffort/policy.rs
+++ b/src/decide/besteffort/policy.rs
@@ -3,7 +3,8 @@
 //! Each is one documented value that the decisions are given, so that an experiment can vary them one at a
 //! time; `docs/design/decisions.md` says what callers gain by each. Operators can't set them: their settings
 //! hold classes and targets only. The time limits that keep two runs of a task apart are in
-//! [`lease`](crate::decide::besteffort::lease), since they guard a guarantee and aren't open to weighing.
+//! [`lease`](crate::decide::besteffort::lease), since a guarantee depends on them and they can't be traded
+//! against other aims.
 
 use std::time;
 
@@ -16,7 +17,7 @@
     pub placement: Placement,
     /// Moving runs off slow and stalled backend servers.
     pub relocation: Relocation,
-    /// Sending no work to backend servers that fail it.
+    /// Sending no work to agents whose backend servers fail runs.
     pub barring: Barring,
     /// Learning from run times.
     pub learning: Learning,
@@ -41,7 +42,7 @@
 /// Where a task is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placement {
-    /// How many times as long a task runs away from its data, where the settings don't say.
+    /// How many times as long a task is expected to run on a backend server that isn't near its data.
     pub far_factor: f64,
     /// Time that an exchange with another failure domain takes in addition.
     pub other_domain_cost: time::Duration,
@@ -71,15 +72,17 @@
     /// How many times sooner the task has to end elsewhere: estimates scatter, and a move discards the work
     /// done so far.
     pub min_gain: f64,
-    /// Shortest time without progress that counts as a stall: a listing and a message may be on their way.
+    /// Longest time without progress that isn't a stall yet, since a listing and a message may be under way.
     pub min_standstill: time::Duration,
-    /// Percent of the work that a sound backend server would have done in that time, at least.
+    /// Percent of the work that a sound backend server must have been able to do in the time without progress
+    /// for it to count as a stall.
     pub min_expected_percent: f64,
     /// Weight of a stall or a slow run in the agent's slowness.
     pub learning_weight: f64,
-    /// Age from which the pace of a run is judged.
+    /// Age from which a run may be moved; before that its progress says too little about its pace.
     pub min_age: time::Duration,
-    /// Slowness that an agent must have to lose a run; one slow run alone doesn't reach it.
+    /// Slowness of an agent from which runs are moved off it, and of a run from which it counts as slow; one
+    /// slow run alone doesn't bring an agent there.
     pub min_slowness: f64,
 }
 
@@ -93,7 +96,7 @@
     pub success_factor: f64,
     /// Weight below which an agent counts as sound again.
     pub sound_below: f64,
-    /// How long a barred agent gets no work before the next task is risked; doubled each time, up to
+    /// How long a barred agent gets no work before it is tried with one task; doubled each time, up to
     /// `longest_bar`.
     pub first_bar: time::Duration,
     /// Longest time that an agent is barred at a stretch.
--- a/src/decide/besteffort/subset.rs
+++ b/src/decide/besteffort/subset.rs
@@ -63,8 +63,8 @@
 struct KnownAgent {
     listed: ListedAgent,
     state: State,
-    /// When the link was last of use beyond the base; none for agents of the base and for those without a
-    /// link.
+    /// When an extra link to the agent was last used; none for agents of the base, and where no link is
+    /// wanted.
     extra_used_at: Option<time::Duration>,
 }
 
@@ -77,7 +77,7 @@
     known: BTreeMap<id::AgentId, KnownAgent>,
     /// All agents, those to link to first at the front.
     order: Vec<id::AgentId>,
-    /// Whether agents have come or gone since `order` was computed.
+    /// Whether agents were added, removed or moved to another failure domain since `order` was computed.
     is_order_stale: bool,
     reach_factor: f64,
 }
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Takes in what is listed of an agent. Where its address has changed, the link is closed and opened
-    /// anew.
+    /// Records what the platform lists of an agent. Where its address has changed, the link is closed, and
+    /// the next review may open it again.
     pub fn list_agent(&mut self, listed: ListedAgent) -> Option<LinkChange> {
         let name = listed.agent.clone();
         let old = self.known.get(&name).map(|known| {
@@ -117,9 +117,9 @@
         has_moved.then_some(LinkChange::Close(name))
     }
 
-    /// Takes in that an agent isn't listed any more. A link that is up is kept, since it proves more than the
-    /// list: whoever removed the row may have been cut off from the agent, and closing the link would lose
-    /// the runs there.
+    /// Records that the platform no longer lists an agent. A link that is up is kept, since it proves more
+    /// than the list: whoever removed the row may have been cut off from the agent, and closing the link
+    /// would lose the runs there.
     pub fn unlist_agent(&mut self, agent: &str) -> Option<LinkChange> {
         let known = self.known.get(agent)?;
         if known.state == State::Up {
@@ -131,14 +131,14 @@
         is_wanted.then(|| LinkChange::Close(agent.into()))
     }
 
-    /// Takes in that the link to an agent is up.
+    /// Records that the link to an agent is up.
     pub fn link_up(&mut self, agent: &str) {
         if let Some(known) = self.known.get_mut(agent) {
             known.state = State::Up;
         }
     }
 
-    /// Takes in that there is no link to an agent, because it has ended or couldn't be opened.
+    /// Records that there is no link to an agent, because it has ended or couldn't be opened.
     pub fn link_down(&mut self, now: time::Duration, agent: &str) {
         if let Some(known) = self.known.get_mut(agent) {
             if matches!(known.state, State::Opening | State::Up) {
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Whether a link to an agent is wanted. One to an agent that isn't listed wasn't opened by the subset, and
-    /// counts as wanted.
+    /// Whether a link to an agent is wanted. One to an agent that isn't listed wasn't opened by the subset,
+    /// and counts as wanted.
     pub fn wants_link(&self, agent: &str) -> bool {
         let known = self.known.get(agent);
         known.is_none_or(|known| known.state != State::Unwanted)
@@ -166,7 +166,7 @@
         missing.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Counts the listed agents.
+    /// Returns the number of agents that are listed, or still linked after they left the list.
     pub fn listed_agents(&self) -> usize {
         self.known.len()
     }
@@ -177,9 +177,9 @@
         known.is_some_and(|known| known.state == State::Opening)
     }
 
-    /// Returns the number of linked agents and of those that may be linked to next, divided by the number of
-    /// linked ones, as of the last change. Waiting work needn't be refused for lack of room before these
-    /// agents were asked.
+    /// Returns the number of linked agents plus those that may be linked to next, divided by the number of
+    /// linked ones, as of the last review or extra link. Counting these agents keeps the entry from refusing
+    /// work for lack of room before it has asked them.
     pub fn reach_factor(&self) -> f64 {
         self.reach_factor
     }
@@ -303,9 +303,9 @@
         base
     }
 
-    /// Updates the order: agents of the entry's own failure domain in an order that the entry draws, and
-    /// after every few of them one of another domain. The other domains take turns, so that the loss of a
-    /// whole domain or rack leaves agents of others.
+    /// Updates the order: agents of the entry's own failure domain in the order of a hash that differs by
+    /// entry, and after every few of them one of another domain. The other domains take turns, so that the
+    /// loss of a whole domain or rack leaves agents of others.
     fn update_order(&mut self) {
         if !std::mem::take(&mut self.is_order_stale) {
             return;
--- a/src/decide/besteffort/view.rs
+++ b/src/decide/besteffort/view.rs
@@ -28,23 +28,30 @@
     pub largest_size: Room,
     /// When the agent's last message arrived, or its link came up.
     pub heard_at: time::Duration,
-    /// Number of runs of this entry that the agent has.
+    /// Number of runs of this entry that were sent to the agent and haven't ended.
     pub run_count: u32,
     /// Number of entries that compete for the agent's room, this one included.
     pub competing_entries: u32,
+    /// Free room as the agent last reported it, less lent room that the entry didn't use.
     free: Room,
     /// The part of `free` that the agent reserves for this entry until the entry's next message.
     lent: Room,
+    /// Number of starts sent on the present link.
     starts_sent: u64,
+    /// Starts that the agent hasn't read yet: their numbers on the link, and the room that each takes.
     unread_starts: VecDeque<(u64, Room)>,
+    /// Weight of past failures, each counted as 1 and reduced by every success.
     failures: f64,
+    /// Until when the agent gets no work because its backend server failed runs.
     barred_until: time::Duration,
+    /// How long the next bar lasts.
     next_bar: time::Duration,
+    /// Until when the agent gets no work because it had no room for a start.
     avoid_until: time::Duration,
 }
 
 impl AgentView {
-    /// Opens the view of an agent that has just connected.
+    /// Returns the view of an agent that has just connected.
     pub fn open(
         policy: policy::Barring,
         agent: id::AgentId,
@@ -73,7 +80,7 @@
         }
     }
 
-    /// Takes in that a new link to the agent is up.
+    /// Records that a new link to the agent is up.
     pub fn link_opened(&mut self, link: LinkNo, now: time::Duration) {
         self.link = Some(link);
         self.heard_at = now;
@@ -81,7 +88,7 @@
         self.unread_starts.clear();
     }
 
-    /// Takes in what a message of the agent says of its room and its backend server.
+    /// Updates the room and the backend server from a message of the agent.
     pub fn update(&mut self, now: time::Duration, message: &AgentMessage) {
         self.heard_at = now;
         self.free = message.free;
@@ -127,7 +134,7 @@
         self.run_count = self.run_count.saturating_sub(runs);
     }
 
-    /// Returns the room that is left, less what starts take that the agent hasn't read yet.
+    /// Returns the agent's free room, less the room of starts that the agent hasn't read yet.
     pub fn free(&self) -> Room {
         let unread = self.unread_starts.iter();
         unread.fold(self.free, |free, (_, need)| free.minus(need))
@@ -174,7 +181,7 @@
         self.barred_until = time::Duration::ZERO;
     }
 
-    /// Takes in that the agent had no room for a start, and passes it over for a moment.
+    /// Records that the agent returned a start, and sends it no more for `no_room_pause`.
     pub fn had_no_room(&mut self, now: time::Duration) {
         self.avoid_until = now + self.policy.no_room_pause;
     }
