--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error where an address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn open(
     cfg: Config,
     platform: platform::Platform,
