--- a/src/besteffort/agent/link.rs
+++ b/src/besteffort/agent/link.rs
@@ -23,8 +23,8 @@
 /// the first second of a large fleet, the entries that are turned away try the next agents in their order.
 pub const MAX_LINKS: usize = 128;
 
-/// If the agent has written nothing on a link for this many heartbeats, it answers the entry's next message. An
-/// entry's heartbeats so prompt those of its agents.
+/// If the agent has written nothing on a link for this many heartbeats, it answers the entry's next message. So
+/// each heartbeat of an entry makes its agents send theirs.
 const ANSWER_AFTER_HEARTBEATS: f64 = 0.5;
 
 /// If nothing was written on a link for this many heartbeats, the entry is late and the agent writes a message
@@ -78,11 +78,11 @@
 }
 
 async fn identify_entry(inner: &Arc<Inner>, stream: TcpStream) -> io::Result<IdentifiedLink> {
-    let late = |_| io::Error::from(io::ErrorKind::TimedOut);
+    let timed_out = |_| io::Error::from(io::ErrorKind::TimedOut);
     let (mut reader, writer) = line::open(stream)?;
     let first: EntryMessage = timeout(HELLO_TIMEOUT, reader.read())
         .await
-        .map_err(late)??;
+        .map_err(timed_out)??;
     let name = first.entry.ok_or(io::ErrorKind::InvalidData)?;
     // Until an earlier incarnation's runs have ended, no entry may be told that nothing runs here.
     while !inner.leftovers_ended.load(Ordering::Relaxed) {
@@ -148,7 +148,7 @@
     let heartbeat = inner.cfg.bounds.heartbeat;
     let mut written_at = Instant::now();
     loop {
-        let answers = tokio::select! {
+        let must_write = tokio::select! {
             () = link.close.notified() => return Ok(()),
             message = reader.read::<EntryMessage>() => {
                 heard_at = clock::since_boot();
@@ -163,7 +163,7 @@
                 true
             }
         };
-        if answers {
+        if must_write {
             writer.write(&session.next_message()).await?;
             written_at = Instant::now();
         }
--- a/src/besteffort/agent/mod.rs
+++ b/src/besteffort/agent/mod.rs
@@ -33,7 +33,7 @@
 use crate::id;
 use crate::mutex;
 
-/// Interval at which the time bounds are checked; short against the shortest of them (40 ms).
+/// Interval at which the time bounds are checked; shorter than the shortest of them (40 ms).
 const TICK: time::Duration = time::Duration::from_millis(20);
 
 /// How long a listing's answer may take beyond the time that the backend server waits for an end. After that
@@ -143,7 +143,7 @@
 }
 
 /// Starts an agent and listens for links of entries. It first ends the runs that an earlier incarnation of it
-/// has left.
+/// left running.
 ///
 /// # Errors
 ///
@@ -195,7 +195,8 @@
     }
 
     /// Restores the backend server as an earlier incarnation of the agent knew it, if a check finds it up.
-    /// Otherwise the agent would wait for the next heartbeat. Does nothing once an incarnation is known.
+    /// Without this the agent would get no work before the next heartbeat. Does nothing once an incarnation is
+    /// known.
     pub async fn restore_backend(&self, backend: Backend) {
         if !self.server_incarnation().id.is_empty() {
             return;
--- a/src/besteffort/agent/server.rs
+++ b/src/besteffort/agent/server.rs
@@ -23,12 +23,12 @@
 /// reported progress.
 const MAX_LISTING_WAIT: time::Duration = time::Duration::from_millis(150);
 
-/// How long a delayed listing may be silent while something runs before a second one asks for the present
+/// How long a delayed listing may go unanswered while something runs before a second one asks for the present
 /// state. About the time between two ends at an agent under ordinary load (33 ms).
 const PROBE_AFTER: time::Duration = time::Duration::from_millis(40);
 
 /// How long the delayed listing may still take after the second one has listed an end.
-const WAITING_LISTING_GRACE: time::Duration = time::Duration::from_millis(5);
+const DELAYED_LISTING_GRACE: time::Duration = time::Duration::from_millis(5);
 
 /// Pause after a listing that failed.
 const LISTING_PAUSE: time::Duration = time::Duration::from_millis(100);
@@ -77,19 +77,20 @@
     }
 }
 
-/// Waits for a listing that contains an end; returns false if none could be had.
+/// Waits until a run has ended, or for [`MAX_LISTING_WAIT`], with a listing that the backend server delays
+/// until then. Returns false if that listing failed.
 ///
 /// A lost listing looks like one that is delayed until a run ends. When one order in twenty was lost, one end
 /// in ten was learned 200 ms late, and its slot was idle for as long. So while something runs and no listing
 /// came for [`PROBE_AFTER`], a second listing asks for the present state. If that one contains an end, the
 /// delayed one is lost and is given up.
 async fn wait_for_end(inner: &Arc<Inner>) -> bool {
-    let waiting = list_once(inner, MAX_LISTING_WAIT);
-    tokio::pin!(waiting);
+    let delayed = list_once(inner, MAX_LISTING_WAIT);
+    tokio::pin!(delayed);
     loop {
         let is_working = mutex::lock(&inner.slots).is_working();
         tokio::select! {
-            listed = &mut waiting => return listed.is_some(),
+            listed = &mut delayed => return listed.is_some(),
             // A listing of the incarnation before may hang until its timeout; if the agent waited for it, the
             // new incarnation would look unreachable.
             () = inner.new_incarnation.notified() => return true,
@@ -102,7 +103,7 @@
         }
         let end_count = list_once(inner, time::Duration::ZERO).await;
         if end_count.is_some_and(|count| count > 0) {
-            return match timeout(WAITING_LISTING_GRACE, &mut waiting).await {
+            return match timeout(DELAYED_LISTING_GRACE, &mut delayed).await {
                 Ok(listed) => listed.is_some(),
                 Err(_) => true,
             };
--- a/src/besteffort/entry/link.rs
+++ b/src/besteffort/entry/link.rs
@@ -37,7 +37,8 @@
 const MAX_FREQUENT_TRIES: u32 = 60;
 const RARE_RECONNECT_PAUSE: time::Duration = time::Duration::from_secs(4);
 
-/// What the tasks of an entry share about one link.
+/// The state of one link, shared by the async task that maintains the link and those that have messages for the
+/// agent.
 #[derive(Default)]
 pub(super) struct Link {
     /// The message that is being composed; starts and stops are added until it is written.
@@ -105,9 +106,9 @@
     agent: &id::AgentId,
     addr: SocketAddr,
 ) -> io::Result<()> {
-    let late = |_| io::Error::from(io::ErrorKind::TimedOut);
+    let timed_out = |_| io::Error::from(io::ErrorKind::TimedOut);
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
-    let stream = stream.await.map_err(late)??;
+    let stream = stream.await.map_err(timed_out)??;
     let (mut reader, mut writer) = line::open(stream)?;
     let first = EntryMessage {
         entry: Some(inner.cfg.name.clone()),
@@ -115,10 +116,10 @@
         ..EntryMessage::default()
     };
     writer.write(&first).await?;
-    let hello: AgentMessage = timeout(HELLO_TIMEOUT, reader.read())
+    let answer: AgentMessage = timeout(HELLO_TIMEOUT, reader.read())
         .await
-        .map_err(late)??;
-    let expected_hello = hello.hello.as_ref().filter(|hello| hello.agent == *agent);
+        .map_err(timed_out)??;
+    let expected_hello = answer.hello.as_ref().filter(|hello| hello.agent == *agent);
     let domain = expected_hello.map(|hello| hello.failure_domain.clone());
     let domain =
         domain.ok_or_else(|| io::Error::other("an agent of another id answered at its address"))?;
@@ -126,7 +127,7 @@
     mutex::lock(&inner.links).insert(no, link.clone());
     let mut last_sent = evacuation::LastSent::default();
     let mut agent_clock = AgentClock::default();
-    handle_message(inner, no, &mut agent_clock, hello);
+    handle_message(inner, no, &mut agent_clock, answer);
     loop {
         tokio::select! {
             message = reader.read::<AgentMessage>() => {
--- a/src/besteffort/entry/mod.rs
+++ b/src/besteffort/entry/mod.rs
@@ -222,7 +222,7 @@
     }
 }
 
-/// Reports to the board when a caller's future is dropped before its job has ended.
+/// Cancels a job when the future of its last waiting caller is dropped before the job has ended.
 struct CallerGuard {
     inner: Arc<Inner>,
     no: JobNo,
--- a/src/decide/besteffort/slots/crashes.rs
+++ b/src/decide/besteffort/slots/crashes.rs
@@ -130,7 +130,8 @@
     }
 
     /// Records a crash of the current incarnation and reports its suspects, unless it had announced that it
-    /// leaves. A suspect that was on probation is proven to be the cause; without one, every task is suspected.
+    /// leaves. Suspects that were on probation are reported as proven causes. Without any, tasks that had just
+    /// started are reported as likely causes and all others as possible ones.
     fn record_crash(&mut self, now: time::Duration) {
         if !self.backend.takes_work {
             return;
@@ -168,7 +169,8 @@
         self.report_crash(now, crash);
     }
 
-    /// Whether a crash of the current incarnation has been reported; a later finding only extends the report.
+    /// Whether a crash of the current incarnation has been reported. A later report replaces the first one and
+    /// isn't counted or logged again.
     fn is_crash_reported(&self) -> bool {
         let mut known = self.crashes.known.iter().map(|(_, crash)| crash);
         let of_current = known.find(|crash| crash.server == self.counts.incarnations);
@@ -202,7 +204,8 @@
     }
 
     /// Whether a start has to wait for isolation: because its own task is a suspect and other runs have just
-    /// begun, or because a suspect waits or is on probation.
+    /// begun, or because a suspect waits or is on probation. With [`Isolation::Alone`], all begun runs count
+    /// instead of those that have just begun.
     pub(super) fn must_wait_for_isolation(&self, now: time::Duration, start: &Start) -> bool {
         if self.isolation == Isolation::Together {
             return false;
--- a/src/decide/besteffort/slots/entries.rs
+++ b/src/decide/besteffort/slots/entries.rs
@@ -47,8 +47,9 @@
         now < until
     }
 
-    /// Handles an entry's request to start a run. A request that the agent already holds is ignored; one that
-    /// never fits or isn't `fresh` is returned at once.
+    /// Handles an entry's request to start a run. A request for a run that the agent already holds is ignored.
+    /// One that needs more than the backend server's whole size is returned at once, and so is one that isn't
+    /// `fresh`, which is what [`Slots::message_received`] returned for its message.
     pub fn start_requested(
         &mut self,
         now: time::Duration,
@@ -99,7 +100,7 @@
         let mut message = AgentMessage {
             now_ms,
             free: self.free().minus(&self.lent_room(Some(name))),
-            competing_entries: self.sharers(now, name),
+            competing_entries: self.count_competing_entries(now, name),
             ..AgentMessage::default()
         };
         if let Some(entry) = self.entries.get_mut(name) {
@@ -124,7 +125,7 @@
 
     /// Counts the entries that compete for the room: this one and the others that have work waiting. An entry
     /// without waiting work leaves its share to the others.
-    fn sharers(&self, now: time::Duration, name: &EntryIncarnation) -> u32 {
+    fn count_competing_entries(&self, now: time::Duration, name: &EntryIncarnation) -> u32 {
         let others = self.entries.iter().filter(|(other, _)| *other != name);
         let waiting = others.filter(|(_, e)| now < e.alive_until && e.waiting_work.is_some());
         1 + waiting.count() as u32
--- a/src/decide/besteffort/slots/held.rs
+++ b/src/decide/besteffort/slots/held.rs
@@ -27,17 +27,20 @@
     pub(super) state: State,
     /// When it arrived; once its start was sent, the time of the start or of its acceptance.
     pub(super) since: time::Duration,
-    /// When it first had to end: it was withdrawn, its deadline passed or its entry went silent.
+    /// When it first had to end: it was withdrawn, its deadline passed, its entry went silent, its start had no
+    /// answer, or the agent stopped.
     pub(super) must_end_since: Option<time::Duration>,
     /// When the last stop was sent or, in [`State::StopConfirmed`], answered.
     pub(super) stop_at: time::Duration,
+    /// How much of the run was done at the last listing that contained it.
     pub(super) percent: u8,
     /// When the listing with `percent` came in.
     pub(super) percent_at: time::Duration,
 }
 
 impl HeldRun {
-    /// The order in which runs get room: by priority, then urgency.
+    /// Returns the key by which waiting runs are sorted. The smallest gets room first: by priority, then
+    /// urgency.
     pub(super) fn queue_key(&self) -> (u32, u64, Run) {
         let start = &self.start;
         (start.priority, start.urgency_ms, start.run.clone())
--- a/src/decide/besteffort/slots/incarnations.rs
+++ b/src/decide/besteffort/slots/incarnations.rs
@@ -20,11 +20,12 @@
     Listing, Recipient, Slots, StaleMessage, State, ANOTHER_INCARNATION,
 };
 
-/// Maximum number of incarnations that are checked at a time. A heartbeat of a dead incarnation or of another
-/// writer mustn't displace the live one, which would be checked again only at its next heartbeat, 1.5 s later.
+/// Maximum number of incarnations that are checked at a time. A heartbeat that a dead incarnation or another
+/// process has sent mustn't displace the live one, which would be checked again only at its next heartbeat,
+/// 1.5 s later.
 const MAX_CANDIDATES: usize = 8;
 
-/// An incarnation that has announced itself and is being checked for being up.
+/// An incarnation that has announced itself but hasn't yet proven, by answering a check, that it is up.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     /// The number of the check that is under way; none after a check without an answer.
@@ -117,7 +118,7 @@
     /// Applies a heartbeat of the current incarnation.
     fn apply_heartbeat(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         if heartbeat.backend.service != self.backend.service {
-            // An incarnation never changes its service, so this comes from another writer.
+            // An incarnation never changes its service, so another process has sent this heartbeat.
             log::warn!(instance = heartbeat.backend.incarnation.id.as_str(), service = heartbeat.backend.service.as_str();
                 "known life is said to be of another service");
         } else if heartbeat.number < self.last_heartbeat {
@@ -144,8 +145,8 @@
         check: &Check,
         checked: CheckResult,
     ) -> bool {
-        let current = |candidate: &Candidate| candidate.check == Some(check.number);
-        let Some(at) = self.candidates.iter().position(current) else {
+        let awaits_check = |candidate: &Candidate| candidate.check == Some(check.number);
+        let Some(at) = self.candidates.iter().position(awaits_check) else {
             return false;
         };
         let incarnation = &check.to.incarnation;
@@ -204,8 +205,8 @@
         self.adopt_incarnation(now, heartbeat);
     }
 
-    /// Makes another incarnation the current one, as soon as an answer proves that it is up. What ran on the
-    /// one before has ended with it.
+    /// Makes another incarnation the current one, once an answer has proven that it is up. The runs that were
+    /// sent to the one before end as lost; under the same id they are inherited until the next listing.
     fn adopt_incarnation(&mut self, now: time::Duration, heartbeat: Heartbeat) {
         let incarnation = &heartbeat.backend.incarnation;
         if !self.backend.incarnation.id.is_empty() {
@@ -266,8 +267,8 @@
         self.dispatch_waiting(now);
     }
 
-    /// Handles a loss of room: waiting starts that don't fit any more are returned to their entries, and all
-    /// loans end.
+    /// Handles a loss of room: waiting starts that don't fit beside the sent runs are returned to their
+    /// entries, and all loans end.
     fn return_unfitting_starts(&mut self, now: time::Duration) {
         for entry in self.entries.values_mut() {
             entry.loan = None;
@@ -299,20 +300,21 @@
             self.backend.takes_work = false;
             self.dispatch_waiting(now);
         }
-        // A candidate's earlier heartbeat, whose check is still under way, would bring it back as one that
-        // takes work.
+        // If its check, which is still under way, succeeded, the candidate's earlier heartbeat would be
+        // applied, in which it takes work.
         self.candidates
             .retain(|known| !is_meant(known.incarnation()));
     }
 
-    /// Handles an answer by which the current incarnation is dead, so that none of its runs continues.
+    /// Handles an answer of another incarnation to a request for the current one. It proves that the current
+    /// one is dead, so all runs that were sent to it are given up.
     pub fn another_incarnation_answered(&mut self, now: time::Duration) {
         self.end_lost_runs(now, ANOTHER_INCARNATION);
     }
 }
 
-/// Whether a listing may come from an incarnation. It may if either doesn't tell: no incarnation is known yet,
-/// or the listing has no start time.
+/// Whether a listing may come from an incarnation: the start times are the same or can't be compared, because
+/// no incarnation is known yet or the listing states no start time.
 pub(super) fn may_belong_to(listing: &Listing, incarnation: &ServerIncarnation) -> bool {
     incarnation.id.is_empty() || listing.born_ms.is_none() || listing.born_ms == incarnation.born_ms
 }
--- a/src/decide/besteffort/slots/lend.rs
+++ b/src/decide/besteffort/slots/lend.rs
@@ -26,8 +26,9 @@
 }
 
 impl Slots {
-    /// Updates what waits at an entry. A message that the entry wrote after it heard of a loan ends the loan:
-    /// its starts have used the room, and the rest becomes free.
+    /// Updates what waits at an entry. A message that the entry wrote after it heard of a loan (`seen_ms` is
+    /// the agent's clock in the last message that it had read by then) ends the loan: the starts in it have used the
+    /// room, and the rest becomes free.
     pub fn update_waiting_work(
         &mut self,
         now: time::Duration,
--- a/src/decide/besteffort/slots/mod.rs
+++ b/src/decide/besteffort/slots/mod.rs
@@ -52,7 +52,9 @@
 /// What an agent knows of an entry, and what it hasn't sent to it yet.
 #[derive(Debug, Default)]
 struct Entry {
+    /// Until when the entry counts as up; proven by the agent's clock, which its messages repeat.
     alive_until: time::Duration,
+    /// When its last message arrived, however old that was.
     heard_at: time::Duration,
     unsent_ends: Vec<RunEnd>,
     recent_ends: VecDeque<RunEnd>,
@@ -73,7 +75,7 @@
 pub struct Slots {
     bounds: Bounds,
     lease: Lease,
-    /// The number of the last end that was handled, in the count of the current incarnation. An end is
+    /// The number of the last end that was handled, as the current incarnation numbers ends. An end is
     /// acknowledged only after that, because the backend server doesn't list an acknowledged end again.
     acknowledged: u64,
     /// The backend server's clock in the newest listing of the current incarnation, in milliseconds.
@@ -90,11 +92,13 @@
     /// isn't known until its first listing.
     inherited: Vec<Run>,
     held: BTreeMap<Run, HeldRun>,
+    /// The held runs in [`State::Waiting`], by [`HeldRun::queue_key`].
     waiting: BTreeSet<(u32, u64, Run)>,
+    /// The room that all other held runs take.
     used: Room,
     entries: BTreeMap<EntryIncarnation, Entry>,
     orders: Vec<Order>,
-    /// When each run that the agent doesn't hold, but the backend server lists, was told to stop.
+    /// When a stop was last sent for each run that the backend server lists but the agent doesn't hold.
     unknown_run_stops: BTreeMap<Run, time::Duration>,
     stopping: bool,
     crashes: crashes::Crashes,
@@ -103,8 +107,8 @@
     reserved_for_suspect: bool,
     /// The newest state of the agent's failure domain: evacuated or not.
     evacuation: evacuation::DomainState,
-    /// Whether the backend server may get work: it has answered recently, and no lease from before outlasts the
-    /// one that the agent would ask for.
+    /// Whether the backend server may get work: it has answered recently, and its present lease ends no later
+    /// than the one that the agent would ask for now.
     reachable: bool,
     /// What the agent has done since its start.
     pub counts: Counts,
@@ -157,7 +161,8 @@
         }
     }
 
-    /// Returns the backend server as entries are told of it: it takes work only if the agent does.
+    /// Returns the description of the backend server that entries get: it takes work only if the agent also
+    /// does.
     pub fn advertised_backend(&self) -> Backend {
         Backend {
             takes_work: self.takes_work(),
@@ -227,7 +232,7 @@
         changed
     }
 
-    /// Ends all runs that are left.
+    /// Returns all waiting starts to their entries and stops all runs that were sent.
     pub fn end_all_runs(&mut self, now: time::Duration) {
         let all: Vec<Run> = self.held.keys().cloned().collect();
         for run in all {
--- a/src/decide/besteffort/slots/order.rs
+++ b/src/decide/besteffort/slots/order.rs
@@ -8,12 +8,12 @@
 ///
 /// An order that is sent late must not be carried out by another incarnation: its run was given up together
 /// with the incarnation it was meant for, and its task may already run elsewhere. An incarnation with another
-/// id refuses an order that names the one before. For one with the same id, only the fence makes the
-/// difference: the first request to the new incarnation carries a larger fence, and from then on the backend
-/// server refuses what was decided for the one before.
+/// id refuses an order that names the one before. One with the same id can tell such orders by the fence only:
+/// the first request to the new incarnation carries a larger fence, and from then on the backend server refuses
+/// what was decided for the one before.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recipient {
-    /// The incarnation that is meant; any if its id is empty.
+    /// The only incarnation that may carry out the order or answer the request; any may if the id is empty.
     pub incarnation: ServerIncarnation,
     /// The number of incarnations that the agent had accepted when it decided the order.
     pub fence: u64,
@@ -76,8 +76,9 @@
     pub clock_ms: u64,
     /// Running runs, and how much of each is done, in percent.
     pub running: Vec<(Run, u8)>,
-    /// Ends that the agent hasn't acknowledged yet.
+    /// Runs that have ended, with their outcomes, whose ends the agent hasn't acknowledged yet. The backend
+    /// server numbers these ends.
     pub ended: Vec<(Run, RunOutcome)>,
-    /// The number of the last listed end; 0 if there is none.
+    /// The number of the last end in `ended`; 0 if there is none.
     pub last_end: u64,
 }
--- a/src/decide/besteffort/slots/server.rs
+++ b/src/decide/besteffort/slots/server.rs
@@ -34,18 +34,22 @@
     /// Renews the lease, and returns the end to ask for with the next listing or start, on the backend server's
     /// clock in milliseconds.
     ///
-    /// Returns none while a run continues that had to end, because its stop isn't answered or the agent was
-    /// paused and sent none. One lease covers all runs, and letting it run out is the only way left to end that
-    /// run before its task may start elsewhere. Returns none as well before an incarnation is known: each one
-    /// has its own clock, and a lease that was computed with the clock of a crashed incarnation may last for
-    /// minutes on the clock of the next.
+    /// Returns none while a run that is overdue to end may continue, because its stop isn't answered or the
+    /// agent was paused and sent none. One lease covers all runs, and letting it run out is the only way left
+    /// to end that run before its task may start elsewhere. Returns none as well before an incarnation is
+    /// known: each one has its own clock, and a lease that was computed with the clock of a crashed incarnation
+    /// may last for minutes on the clock of the next.
     pub fn renew_lease(&mut self, now: time::Duration) -> Option<u64> {
         if self.backend.incarnation.id.is_empty() {
             return None;
         }
-        let open = |held: &HeldRun| !matches!(held.state, State::Waiting | State::StopConfirmed);
+        let may_run = |held: &HeldRun| !matches!(held.state, State::Waiting | State::StopConfirmed);
         let overdue = |held: &HeldRun| now > self.end_due_at(held) + lease::DELAY_MARGIN;
-        if self.held.values().any(|held| open(held) && overdue(held)) {
+        if self
+            .held
+            .values()
+            .any(|held| may_run(held) && overdue(held))
+        {
             return None;
         }
         self.lease.renew(now)
--- a/tests/besteffort_agent.rs
+++ b/tests/besteffort_agent.rs
@@ -163,7 +163,7 @@
 /// still works under the lease of its first incarnation. If the new agent told the entry that nothing runs
 /// here, the entry would start the task elsewhere.
 #[test]
-fn a_restarted_agent_ends_leftover_runs_before_it_greets_entries() {
+fn a_restarted_agent_ends_leftover_runs_before_it_answers_entries() {
     support::block_on(async {
         let calls = Calls::default();
         let agent = open(&calls, LONG_BOUND).await;
@@ -339,7 +339,8 @@
 }
 
 /// Guards against answers that reach callers 200 ms late, with workers idle for as long: a delayed listing was
-/// lost on its way and looks like one that still waits for an end. A second listing asks for the present state.
+/// lost on its way, which looks the same as one that the backend server still delays until a run ends. A second
+/// listing asks for the present state.
 #[test]
 fn an_end_is_learned_although_the_delayed_listing_was_lost() {
     support::block_on(async {
@@ -357,8 +358,8 @@
             support::besteffort::Call::List(call, tx) if call.wait.is_zero() => Ok(tx),
             other => Err(other),
         };
-        let lost = calls.next("a waiting listing", delayed).await;
-        let now = calls.next("a listing at once", immediate).await;
+        let lost = calls.next("a delayed listing", delayed).await;
+        let now = calls.next("an immediate listing", immediate).await;
         let ended = vec![(begun, RunOutcome::Done)];
         now.send(Ok(listed(Vec::new(), ended)))
             .expect("the agent waits");
@@ -366,7 +367,7 @@
             .read_until(|message| message.ended.first().map(|end| end.outcome))
             .await;
         assert_eq!(outcome, RunOutcome::Done);
-        calls.next("the next waiting listing", delayed).await;
+        calls.next("the next delayed listing", delayed).await;
         assert!(lost.is_closed(), "the lost one was given up");
     });
 }
--- a/tests/besteffort_lending.rs
+++ b/tests/besteffort_lending.rs
@@ -188,18 +188,18 @@
 #[test]
 fn only_entries_with_work_waiting_compete() {
     let mut slots = full_agent(&["a", "b", "c"]);
-    let sharers = |slots: &mut Slots| {
+    let competing = |slots: &mut Slots| {
         ["a", "b", "c"].map(|name| {
             slots
                 .next_message(&entry(name), ms(START + 2))
                 .competing_entries
         })
     };
-    assert_eq!(sharers(&mut slots), [1, 1, 1]);
+    assert_eq!(competing(&mut slots), [1, 1, 1]);
     slots.update_waiting_work(ms(START + 1), &entry("a"), START, work(0, 5, 1));
-    assert_eq!(sharers(&mut slots), [1, 2, 2]);
+    assert_eq!(competing(&mut slots), [1, 2, 2]);
     slots.update_waiting_work(ms(START + 1), &entry("b"), START, work(0, 5, 1));
-    assert_eq!(sharers(&mut slots), [2, 2, 3]);
+    assert_eq!(competing(&mut slots), [2, 2, 3]);
     slots.message_received(ms(START + 500), &entry("a"), START + 500);
     let late = slots.next_message(&entry("a"), ms(START + 500));
     assert_eq!(late.competing_entries, 1, "the other entry is silent");
--- a/tests/besteffort_returns.rs
+++ b/tests/besteffort_returns.rs
@@ -16,8 +16,8 @@
 use support::besteffort::{self, entry, run};
 
 const START: u64 = 10_000;
-/// When the incarnations began. The second one began later, but at an earlier time of day, because that was set
-/// back.
+/// The start times of the three incarnations of the backend server, in milliseconds. The second one began after
+/// the first but has an earlier time, because the machine's time of day was set back in between.
 const FIRST: u64 = 5_000;
 const SECOND: u64 = 4_000;
 const THIRD: u64 = 6_000;
@@ -149,8 +149,8 @@
     assert!(slots.advertised_backend().takes_work);
 }
 
-/// Guards against work on an incarnation that leaves. Its heartbeat arrived, the check of it had no answer, and
-/// then an older heartbeat arrived late.
+/// Guards against work on an incarnation that leaves. It announced this in a heartbeat, the check of it had no
+/// answer, and then an older heartbeat, in which it takes work, arrived late.
 #[test]
 fn an_incarnation_whose_check_had_no_answer_is_remembered_as_leaving() {
     let mut slots = open();
--- a/tests/besteffort_room.rs
+++ b/tests/besteffort_room.rs
@@ -42,7 +42,7 @@
 }
 
 /// Guards against starts on a backend server that has no room left or has announced that it leaves: its
-/// heartbeat was rejected as another writer's, because it announced a size of zero.
+/// heartbeat was rejected as one of another process, because it announced a size of zero.
 #[test]
 fn every_announced_size_is_applied() {
     support::block_on(async {
@@ -246,7 +246,7 @@
 /// Guards against telling a caller that its job fits nowhere, though the backend servers have shrunk only for a
 /// while.
 #[test]
-fn a_job_that_fits_only_larger_backend_servers_is_told_to_come_back() {
+fn a_job_that_fitted_before_all_backend_servers_shrank_is_refused_as_shrunk() {
     let mut board = Board::open("entry", "domain", Bounds::default(), Policy::default());
     board.tick(ms(START - 5_000));
     let hello = Hello {
--- a/tests/besteffort_slots.rs
+++ b/tests/besteffort_slots.rs
@@ -239,8 +239,8 @@
 
 /// Guards against two runs of one task, and a healthy backend server that never gets work again. The backend
 /// server crashed twice in a row, and a heartbeat of the incarnation in between, which the agent doesn't know,
-/// arrives late. An agent that believed it gave up its runs, whose tasks started elsewhere, and treated the live
-/// incarnation as dead.
+/// arrives late. An agent that applied it without a check gave up its runs, whose tasks started elsewhere, and
+/// treated the live incarnation as dead.
 #[test]
 fn an_incarnation_is_accepted_only_after_it_has_answered() {
     let mut slots = open();
@@ -252,7 +252,7 @@
         let at = ms(START + at);
         let check = slots
             .heartbeat_received(at, heartbeat("middle"))
-            .expect("unknown");
+            .expect("an unknown incarnation is checked");
         assert!(!slots.check_answered(at, at, &check, result));
         assert_eq!(
             (slots.server_incarnation().id.as_str(), slots.is_working()),
@@ -291,9 +291,9 @@
     assert!(slots.renew_lease(ms(START + 3)).is_some());
 }
 
-/// Guards against a log line that a run was stopped which nobody had asked for, though its job is complete. Of
-/// two listings under way at a time, the later one contained the run's end; the earlier one, which still listed
-/// the run, arrived after it.
+/// Guards against a false warning that the agent stops a run that nobody asked for, about a run whose job is
+/// complete. Of two listings under way at a time, the later one contained the run's end; the earlier one, which
+/// still listed the run, arrived after it.
 #[test]
 fn an_overtaken_listing_is_ignored() {
     let mut slots = open();
@@ -326,7 +326,7 @@
     let at = ms(START);
     let check = slots
         .heartbeat_received(at, heartbeat("life"))
-        .expect("unknown");
+        .expect("an unknown incarnation is checked");
     slots.server_left(at, &ServerIncarnation::with_id("life"));
     let answer = CheckResult::Answered(listing(START, &[]));
     slots.check_answered(at, at, &check, answer);
@@ -341,7 +341,7 @@
     let at = ms(START + 1);
     let late = slots
         .heartbeat_received(at, heartbeat("middle"))
-        .expect("unknown");
+        .expect("an unknown incarnation is checked");
     assert_eq!(
         slots.heartbeat_received(at, heartbeat("middle")),
         None,
@@ -349,14 +349,19 @@
     );
     adopt_incarnation(&mut slots, START + 2, "next");
     let next_check = slots.heartbeat_received(ms(START + 3), heartbeat("middle"));
-    assert_ne!(next_check.expect("unknown").number, late.number);
+    assert_ne!(
+        next_check
+            .expect("an unknown incarnation is checked")
+            .number,
+        late.number
+    );
     let answer = || CheckResult::Answered(listing(START + 4, &[]));
     assert!(!slots.check_answered(ms(START + 4), at, &late, answer()));
     assert_eq!(slots.server_incarnation().id, "next");
 }
 
-/// Guards against runs that outlast their caller's patience: the agent stops a run at its deadline on its own
-/// clock, even if the entry is up.
+/// Guards against runs that continue after their caller's deadline: the agent stops a run at its deadline on
+/// its own clock, even if the entry is up.
 #[test]
 fn a_run_is_stopped_at_its_deadline() {
     let mut slots = open();
@@ -381,17 +386,17 @@
     assert!(Bounds::default().runs_end_within() < lease::RESUBMIT_AFTER);
 }
 
-/// Guards against a live worker that gets no work for 1.5 s. While its incarnation is checked, a heartbeat of
-/// another writer names one that isn't up, and only the newest check was kept.
+/// Guards against a live worker that gets no work for 1.5 s. While its incarnation is checked, another process
+/// sends a heartbeat of an incarnation that isn't up, and only the newest check was kept.
 #[test]
-fn a_heartbeat_of_another_writer_doesn_t_displace_the_live_incarnation() {
+fn a_heartbeat_from_another_process_doesn_t_displace_the_live_incarnation() {
     let mut slots = Slots::open(Bounds::default());
     let live = slots
         .heartbeat_received(ms(START), heartbeat("living"))
-        .expect("asked");
+        .expect("an unknown incarnation is checked");
     let other = slots
         .heartbeat_received(ms(START), heartbeat("nobody"))
-        .expect("asked");
+        .expect("an unknown incarnation is checked");
     assert!(!slots.check_answered(
         ms(START),
         ms(START),
@@ -404,8 +409,8 @@
     assert!(slots.advertised_backend().takes_work);
 }
 
-/// Guards against a heartbeat of another writer that names another service for the current incarnation: its
-/// worker would be idle for good, since nobody asks for that service.
+/// Guards against a heartbeat from another process that names another service for the current incarnation: the
+/// backend server would never get work again, since nobody asks for that service.
 #[test]
 fn an_incarnation_keeps_its_service() {
     let mut slots = open();
@@ -416,8 +421,8 @@
 }
 
 /// Guards against two runs of one task because a caller resubmits its job before its runs are certain to have
-/// ended. A program doesn't start with settings that state such callers, or backend servers whose leases are
-/// too short.
+/// ended. A program refuses to start if its settings say that callers resubmit so early, or that the longest
+/// lease of backend servers is shorter than the agent's leases.
 #[test]
 fn bounds_that_can_t_be_kept_are_refused() {
     let bounds = Bounds::default();
