--- a/src/agent/announce.rs
+++ b/src/agent/announce.rs
@@ -5,7 +5,7 @@
 
 use gotham::hyper::StatusCode;
 
-use crate::agent::work::Work;
+use crate::agent::runner::Work;
 use crate::code;
 use crate::refusal::Refusal;
 use crate::wire::backend;
--- a/src/agent/join.rs
+++ b/src/agent/join.rs
@@ -7,7 +7,7 @@
 use backon::BackoffBuilder;
 use compact_str::CompactString;
 
-use crate::agent::work::Work;
+use crate::agent::runner::Work;
 use crate::clock;
 use crate::decide::inherit;
 use crate::decide::ledger;
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,11 +1,11 @@
 //! The agent: the process beside a backend server that owns its slots and starts its tasks.
 
 mod announce;
-mod held;
 mod join;
 mod large;
+mod runner;
 mod spans;
-mod work;
+mod state;
 
 use std::net;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::wire::link;
 use crate::wire::platform;
 use crate::wire::server;
-use work::Work;
+use runner::Work;
 
 /// What an agent is started with.
 #[derive(Clone, Debug)]
--- a/src/agent/work.rs
+++ b/src/agent/runner.rs
@@ -6,9 +6,9 @@
 use compact_str::CompactString;
 use tokio::sync::Notify;
 
-use crate::agent::held::{Backend, Held, Running, Waiting};
 use crate::agent::large;
 use crate::agent::spans::Hops;
+use crate::agent::state::{Backend, Held, Running, Waiting};
 use crate::agent::Config;
 use crate::code;
 use crate::count;
--- a/src/agent/held.rs
+++ b/src/agent/state.rs
@@ -17,7 +17,7 @@
 /// Silence of a backend server after which nothing new is sent to it.
 const BACKEND_SILENCE: time::Duration = time::Duration::from_secs(2);
 
-/// The state of an agent, for its [`Work`](crate::agent::work::Work).
+/// The state of an agent, for its [`Work`](crate::agent::runner::Work).
 pub struct Held {
     /// What it may start, and the answers that its owner has not acknowledged.
     pub ledger: Ledger,
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -124,7 +124,7 @@
     assert_eq!(breaches(decide, "let f = crate::entry::open;").len(), 1);
     assert!(breaches(decide, "use crate::id;\n// use crate::wire;").is_empty());
     assert_eq!(
-        breaches(Path::new("agent/work.rs"), "use crate::entry::core;").len(),
+        breaches(Path::new("agent/runner.rs"), "use crate::entry::core;").len(),
         1
     );
     assert_eq!(
--- a/tests/model/moves.rs
+++ b/tests/model/moves.rs
@@ -629,7 +629,7 @@
     }
 }
 
-/// Handles a hello as agent/work.rs does.
+/// Handles a hello as agent/runner.rs does.
 fn receive_hello(w: &mut World, entry: usize, epoch: id::Epoch, a: usize) -> bool {
     let fence = w.bounds.mutation != Mutation::FenceRemoved;
     let agent = &mut w.agents[a];
@@ -653,7 +653,7 @@
     true
 }
 
-/// Handles an order as agent/work.rs does.
+/// Handles an order as agent/runner.rs does.
 fn receive_order(
     w: &mut World,
     a: usize,
