--- a/src/agent/announce.rs
+++ b/src/agent/announce.rs
@@ -37,7 +37,7 @@
 }
 
 async fn announce(incoming: Incoming, work: &Arc<Work>) -> Result<(), Refusal> {
-    let body = incoming.read(MAX_BODY).await?;
+    let body = incoming.read_body(MAX_BODY).await?;
     let announcement: backend::Announcement = serde_json::from_slice(&body)
         .map_err(|e| Refusal::detailed(code::Code::BadJson, &e.to_string()))?;
     work.announce(announcement);
--- a/src/agent/large.rs
+++ b/src/agent/large.rs
@@ -51,7 +51,7 @@
             task::Outcome::Done(value) => value,
             failed @ task::Outcome::Failed(_) => return failed,
         };
-        if !objects::goes_outside(&value, objects::MAX_INLINE_ANSWER) {
+        if !objects::needs_object_store(&value, objects::MAX_INLINE_ANSWER) {
             return task::Outcome::Done(value);
         }
         match objects::store(&self.store, "answer", &value).await {
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -137,17 +137,17 @@
 fn service(
     work: &Arc<Work>,
     messages: count::Messages,
-) -> link::Service<agent::Hello, notice::Notice, agent::Down, agent::Up> {
+) -> link::ServerHandlers<agent::Hello, notice::Notice, agent::Down, agent::Up> {
     let (greeting, taking) = (work.clone(), work.clone());
-    link::Service {
-        greet: Arc::new(move |hello: agent::Hello, tx| {
+    link::ServerHandlers {
+        on_open: Arc::new(move |hello: agent::Hello, tx| {
             greeting.greet(&hello, tx);
             let work = greeting.clone();
             Arc::new(move |notices: Vec<notice::Notice>| work.group(hello.link, notices))
         }),
-        take: Arc::new(move |down| taking.take(down)),
-        sent: Arc::new(move |up, bytes| messages.sent(agent::kind_up(&up.notices), bytes)),
-        weigh: agent::weigh_notice,
+        on_message: Arc::new(move |down| taking.take(down)),
+        on_sent: Arc::new(move |up, bytes| messages.sent(agent::kind_up(&up.notices), bytes)),
+        estimate_bytes: agent::estimate_notice_bytes,
     }
 }
 
--- a/src/bench/messages.rs
+++ b/src/bench/messages.rs
@@ -67,11 +67,11 @@
 }
 
 /// An agent's side that answers every start at once.
-fn echo() -> link::Service<usize, notice::Notice, (usize, agent::Down), agent::Up> {
+fn echo() -> link::ServerHandlers<usize, notice::Notice, (usize, agent::Down), agent::Up> {
     let senders: Arc<std::sync::Mutex<Vec<Option<link::Sender<notice::Notice>>>>> = Arc::default();
     let greeting = senders.clone();
-    link::Service {
-        greet: Arc::new(move |number, tx| {
+    link::ServerHandlers {
+        on_open: Arc::new(move |number, tx| {
             let mut senders = greeting.lock().expect("the senders are whole");
             if senders.len() <= number {
                 senders.resize(number + 1, None);
@@ -84,7 +84,7 @@
                 load: notice::Load::default(),
             })
         }),
-        take: Arc::new(move |(number, down): (usize, agent::Down)| {
+        on_message: Arc::new(move |(number, down): (usize, agent::Down)| {
             let senders = senders.lock().expect("the senders are whole");
             let Some(Some(tx)) = senders.get(number) else {
                 return;
@@ -95,8 +95,8 @@
                 }
             }
         }),
-        sent: Arc::new(|_, _| {}),
-        weigh: agent::weigh_notice,
+        on_sent: Arc::new(|_, _| {}),
+        estimate_bytes: agent::estimate_notice_bytes,
     }
 }
 
@@ -105,8 +105,8 @@
     let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let (tx, rx) = mpsc::unbounded_channel();
     let (answered, mut answers) = mpsc::unbounded_channel();
-    let peer = link::Peer {
-        take: Arc::new(move |up: agent::Up| {
+    let peer = link::ClientHandlers {
+        on_message: Arc::new(move |up: agent::Up| {
             let _ = answered.send(up.notices.len());
         }),
         group: Arc::new(move |mut messages: Vec<Vec<order::Order>>| {
@@ -120,9 +120,9 @@
             };
             (number, down)
         }),
-        sent: Arc::new(|_, _| {}),
-        weigh: |orders| orders.iter().map(agent::weigh_order).sum(),
-        closed: Box::new(|| {}),
+        on_sent: Arc::new(|_, _| {}),
+        estimate_bytes: |orders| orders.iter().map(agent::estimate_order_bytes).sum(),
+        on_closed: Box::new(|| {}),
     };
     link::connect(&addr, number, rx, peer).await?;
     for message in 0..messages {
--- a/src/controller/claims.rs
+++ b/src/controller/claims.rs
@@ -201,7 +201,7 @@
         value: serde_json::to_string(&claims).ok(),
     }];
     writes.push(Write {
-        key: rows::beat(scope.cell),
+        key: rows::heartbeat(scope.cell),
         value: Some(format!("[{},{at_ms}]", scope.epoch)),
     });
     let expired = clock::since_epoch().saturating_sub(ledger::RETENTION);
--- a/src/controller/ownership/mod.rs
+++ b/src/controller/ownership/mod.rs
@@ -283,7 +283,7 @@
                     revision,
                 }],
                 writes: vec![Write {
-                    key: rows::beat(cell),
+                    key: rows::heartbeat(cell),
                     value: Some(format!("[{epoch},{heartbeat}]")),
                 }],
             };
--- a/src/controller/ownership/takeover.rs
+++ b/src/controller/ownership/takeover.rs
@@ -160,7 +160,7 @@
             Some((of, Suspicion::Silent)) if of == epoch => {}
             Some(_) | None => return false,
         }
-        let Ok(row) = (self.table.get)(rows::beat(cell)).await else {
+        let Ok(row) = (self.table.get)(rows::heartbeat(cell)).await else {
             return false;
         };
         let revision = row.map_or(0, |row| row.revision);
@@ -208,7 +208,7 @@
         let unchanged = self.unchanged_heartbeat(cell, epoch);
         tx.conditions
             .extend(unchanged.map(|(revision, _)| Condition {
-                key: rows::beat(cell),
+                key: rows::heartbeat(cell),
                 revision,
             }));
         let begun = time::Instant::now();
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -34,7 +34,7 @@
     /// To a caller of this entry.
     Caller(oneshot::Sender<Arc<submission::Ending>>),
     /// To the entry that passed the job on, with that entry's sequence number for it.
-    Peer(link::Sender<peer::Returned>, u64),
+    Peer(link::Sender<peer::UpItem>, u64),
 }
 
 /// A cell that runs at this entry until it is stopped.
@@ -199,7 +199,7 @@
                 // The dropped sender makes the submission search for the owner again.
                 Waiter::Caller(_) => {}
                 Waiter::Peer(tx, seq) => {
-                    let _ = tx.send(peer::Returned::NotOwner(seq));
+                    let _ = tx.send(peer::UpItem::NotOwner(seq));
                 }
             }
         }
@@ -251,7 +251,7 @@
                 let _ = tx.send(ending);
             }
             Some(Waiter::Peer(tx, seq)) => {
-                let _ = tx.send(peer::Returned::Ending(seq, ending));
+                let _ = tx.send(peer::UpItem::Ending(seq, ending));
             }
             None => {}
         }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -41,7 +41,7 @@
         ("POST", "/v1/requests") => submit(core, filter::Kind::Request, incoming).await,
         ("DELETE", _) if path.starts_with("/v1/jobs/") => cancel(core, &incoming.uri).await,
         ("GET", "/v1/config") => operate::show(core),
-        ("PUT", "/v1/config") => match incoming.read(caller::MAX_BODY).await {
+        ("PUT", "/v1/config") => match incoming.read_body(caller::MAX_BODY).await {
             Ok(body) => operate::change(core, &body).await,
             Err(refusal) => Reply::refusal(&refusal),
         },
@@ -114,7 +114,7 @@
         kind,
         key,
         traceparent,
-        body: incoming.read(caller::MAX_BODY).await?,
+        body: incoming.read_body(caller::MAX_BODY).await?,
         job: None,
         idempotent: false,
     };
--- a/src/entry/inward.rs
+++ b/src/entry/inward.rs
@@ -10,7 +10,7 @@
 use crate::id;
 use crate::key;
 use crate::wire::link;
-use crate::wire::peer::{self, Passed, Returned};
+use crate::wire::peer::{self, DownItem, UpItem};
 
 /// The core that answers other entries, once it is set; clones share it. It lets the listener be
 /// bound before the core is opened.
@@ -35,19 +35,19 @@
     core_ref: &CoreRef,
     entry: id::EntryId,
     messages: count::Messages,
-) -> link::Service<peer::Hello, Returned, peer::Down, peer::Up> {
+) -> link::ServerHandlers<peer::Hello, UpItem, peer::Down, peer::Up> {
     let (greet_links, take_links) = (links.clone(), links.clone());
     let (greet_core, take_core) = (core_ref.clone(), core_ref.clone());
-    link::Service {
-        greet: Arc::new(move |hello, tx| greet(&greet_links, &greet_core, &entry, hello, tx)),
-        take: Arc::new(move |down: peer::Down| {
+    link::ServerHandlers {
+        on_open: Arc::new(move |hello, tx| greet(&greet_links, &greet_core, &entry, hello, tx)),
+        on_message: Arc::new(move |down: peer::Down| {
             let inward = take_links.count_received(&down.entry, down.link);
             if let (Some(core), Some(inward)) = (take_core.core(), inward) {
                 handle_message(&core, &inward, down);
             }
         }),
-        sent: Arc::new(move |up, bytes| messages.sent(peer::kind_up(&up.items), bytes)),
-        weigh: peer::weigh_up,
+        on_sent: Arc::new(move |up, bytes| messages.sent(peer::kind_up(&up.items), bytes)),
+        estimate_bytes: peer::estimate_up_bytes,
     }
 }
 
@@ -56,15 +56,15 @@
     core_ref: &CoreRef,
     entry: &id::EntryId,
     hello: peer::Hello,
-    tx: link::Sender<Returned>,
-) -> link::Group<Returned, peer::Up> {
+    tx: link::Sender<UpItem>,
+) -> link::Group<UpItem, peer::Up> {
     let link = hello.link;
     let inward = InwardLink::open(link, tx);
     // The heartbeat tells the other entry at once what this one knows of the watched rows.
-    let _ = inward.tx.send(Returned::Heartbeat);
+    let _ = inward.tx.send(UpItem::Heartbeat);
     links.replace(hello.entry, inward.clone());
     let (core_ref, entry) = (core_ref.clone(), entry.clone());
-    Arc::new(move |items: Vec<Returned>| {
+    Arc::new(move |items: Vec<UpItem>| {
         let received = inward.record_sent();
         let core = core_ref.core();
         peer::Up {
@@ -83,35 +83,35 @@
     core.peers.note_version(&down.entry, down.config);
     for item in down.items {
         match item {
-            Passed::Submit(seq, submission) => {
+            DownItem::Submit(seq, submission) => {
                 let waiter = Waiter::Peer(inward.tx.clone(), seq);
                 match core.cell_owner(key::cell(&submission.key, core.cfg.cells)) {
                     CellOwner::Local(cell) => cell.submit(Arc::new(*submission), waiter),
                     CellOwner::Remote(_) | CellOwner::Unknown => send_not_owner(inward, seq),
                 }
             }
-            Passed::Cancel(seq, key) => {
+            DownItem::Cancel(seq, key) => {
                 let waiter = Waiter::Peer(inward.tx.clone(), seq);
                 match core.cell_owner(key::cell(&key, core.cfg.cells)) {
                     CellOwner::Local(cell) => cell.cancel(&key, waiter),
                     CellOwner::Remote(_) | CellOwner::Unknown => send_not_owner(inward, seq),
                 }
             }
-            Passed::WantConfig(version) => send_newer_config(core, inward, version),
-            Passed::Config(config) => core.config.accept_document(*config),
-            Passed::Heartbeat => {}
+            DownItem::WantConfig(version) => send_newer_config(core, inward, version),
+            DownItem::Config(config) => core.config.accept_document(*config),
+            DownItem::Heartbeat => {}
         }
     }
 }
 
 fn send_not_owner(inward: &InwardLink, seq: u64) {
-    let _ = inward.tx.send(Returned::NotOwner(seq));
+    let _ = inward.tx.send(UpItem::NotOwner(seq));
 }
 
 fn send_newer_config(core: &Core, inward: &InwardLink, known: id::Version) {
     let newer = core.config.get().filter(|config| config.version > known);
     if let Some(config) = newer {
         let config = Box::new((*config).clone());
-        let _ = inward.tx.send(Returned::Config(config));
+        let _ = inward.tx.send(UpItem::Config(config));
     }
 }
--- a/src/entry/inward_links.rs
+++ b/src/entry/inward_links.rs
@@ -7,7 +7,7 @@
 
 use crate::id;
 use crate::wire::link;
-use crate::wire::peer::{Returned, HEARTBEAT};
+use crate::wire::peer::{UpItem, HEARTBEAT};
 
 /// The newest link of each other entry; clones share them.
 #[derive(Clone, Default)]
@@ -20,14 +20,14 @@
 pub struct InwardLink {
     link: id::Link,
     /// Sends items back to the entry.
-    pub tx: link::Sender<Returned>,
+    pub tx: link::Sender<UpItem>,
     received: Arc<AtomicU64>,
     last_sent: Arc<Mutex<time::Instant>>,
 }
 
 impl InwardLink {
     /// Opens the state of a link that was just connected.
-    pub fn open(link: id::Link, tx: link::Sender<Returned>) -> InwardLink {
+    pub fn open(link: id::Link, tx: link::Sender<UpItem>) -> InwardLink {
         InwardLink {
             link,
             tx,
@@ -45,7 +45,7 @@
 
 impl InwardLinks {
     /// Sends an item to all entries that are linked to this one.
-    pub fn send_to_all(&self, item: impl Fn() -> Returned) {
+    pub fn send_to_all(&self, item: impl Fn() -> UpItem) {
         for inward in self.links().values() {
             let _ = inward.tx.send(item());
         }
@@ -97,7 +97,7 @@
             continue;
         }
         let inward = links.links().get(&entry).cloned();
-        let sent = inward.is_some_and(|inward| inward.tx.send(Returned::Heartbeat).is_ok());
+        let sent = inward.is_some_and(|inward| inward.tx.send(UpItem::Heartbeat).is_ok());
         if !sent {
             links.remove(&entry, link);
             return;
--- a/src/entry/linking.rs
+++ b/src/entry/linking.rs
@@ -58,15 +58,15 @@
         epoch: strong.scope().epoch,
         link: sender.link,
     };
-    let peer = link::Peer {
-        take: message_handler(cell.clone(), id.clone(), sender.clone()),
+    let peer = link::ClientHandlers {
+        on_message: message_handler(cell.clone(), id.clone(), sender.clone()),
         group: order_grouper(strong.scope(), sender.clone()),
-        sent: {
+        on_sent: {
             let messages = strong.scope().messages.clone();
             Arc::new(move |down, bytes| messages.sent(agent::kind_down(&down.orders), bytes))
         },
-        weigh: agent::weigh_order,
-        closed: {
+        estimate_bytes: agent::estimate_order_bytes,
+        on_closed: {
             let closed = closed.clone();
             Box::new(move || closed.notify_one())
         },
--- a/src/entry/offload.rs
+++ b/src/entry/offload.rs
@@ -24,7 +24,7 @@
 ) -> Result<Vec<CompactString>, Refusal> {
     let mut names = Vec::new();
     for task in &mut submission.job.tasks {
-        if !objects::goes_outside(&task.input, objects::MAX_INLINE_INPUT) {
+        if !objects::needs_object_store(&task.input, objects::MAX_INLINE_INPUT) {
             continue;
         }
         match objects::store(store, "input", &task.input).await {
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -11,7 +11,7 @@
 use crate::entry::peers::PeerLink;
 use crate::id;
 use crate::wire::link;
-use crate::wire::peer::{self, Passed, Returned};
+use crate::wire::peer::{self, DownItem, UpItem};
 use crate::wire::reach;
 
 /// Interval at which the links are checked.
@@ -79,7 +79,7 @@
     core: &Arc<Core>,
     addr: &str,
     link: &Arc<PeerLink>,
-) -> anyhow::Result<link::Sender<Passed>> {
+) -> anyhow::Result<link::Sender<DownItem>> {
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
     let (receiving, closing) = (link.clone(), link.clone());
     let weak = Arc::downgrade(core);
@@ -92,9 +92,9 @@
         entry: entry.clone(),
         link: link_id,
     };
-    let callbacks = link::Peer {
-        take: Arc::new(move |up| handle_message(&weak, &receiving, up)),
-        group: Arc::new(move |items: Vec<Passed>| {
+    let callbacks = link::ClientHandlers {
+        on_message: Arc::new(move |up| handle_message(&weak, &receiving, up)),
+        group: Arc::new(move |items: Vec<DownItem>| {
             connection.record_sent();
             peer::Down {
                 entry: entry.clone(),
@@ -103,9 +103,9 @@
                 items,
             }
         }),
-        sent: Arc::new(move |down, bytes| messages.sent(peer::kind_down(&down.items), bytes)),
-        weigh: peer::weigh_down,
-        closed: Box::new(move || {
+        on_sent: Arc::new(move |down, bytes| messages.sent(peer::kind_down(&down.items), bytes)),
+        estimate_bytes: peer::estimate_down_bytes,
+        on_closed: Box::new(move || {
             if closing.connection().link == link_id {
                 closing.disconnect();
             }
@@ -113,7 +113,7 @@
     };
     link::connect(addr, hello, rx, callbacks).await?;
     // The heartbeat tells the owner this entry's configuration version.
-    let _ = tx.send(Passed::Heartbeat);
+    let _ = tx.send(DownItem::Heartbeat);
     Ok(tx)
 }
 
@@ -130,20 +130,20 @@
     }
     for item in up.items {
         match item {
-            Returned::Ending(seq, ending) => link.end_wait(seq, Some(ending)),
-            Returned::NotOwner(seq) => link.end_wait(seq, None),
-            Returned::WantConfig(version) => {
+            UpItem::Ending(seq, ending) => link.end_wait(seq, Some(ending)),
+            UpItem::NotOwner(seq) => link.end_wait(seq, None),
+            UpItem::WantConfig(version) => {
                 let newer = core.config.get().filter(|config| config.version > version);
                 if let Some(config) = newer {
                     link.send_config(&config);
                 }
             }
-            Returned::Config(config) => core.config.accept_document(*config),
-            Returned::Versions(mut versions) => {
+            UpItem::Config(config) => core.config.accept_document(*config),
+            UpItem::Versions(mut versions) => {
                 versions.remove(&core.cfg.id);
                 core.peers.note_versions(versions);
             }
-            Returned::Heartbeat => {}
+            UpItem::Heartbeat => {}
         }
     }
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -14,7 +14,7 @@
 use crate::id;
 use crate::submission::{Ending, Submission};
 use crate::wire::link;
-use crate::wire::peer::{self, Passed, Returned, LATE, SILENCE};
+use crate::wire::peer::{self, DownItem, UpItem, SILENCE, SUSPECT_AFTER};
 
 /// The links to the owners of other cells, by address, and the other entries' versions.
 pub struct Peers {
@@ -25,7 +25,7 @@
 
 /// The link to one owner, over all its connections, and the submissions that wait on it.
 pub struct PeerLink {
-    tx: Mutex<Option<link::Sender<Passed>>>,
+    tx: Mutex<Option<link::Sender<DownItem>>>,
     pending_replies: Mutex<HashMap<u64, oneshot::Sender<Arc<Ending>>>>,
     next_seq: AtomicU64,
     last_heard: Mutex<time::Instant>,
@@ -62,23 +62,23 @@
 
     /// Tells all linked entries the new configuration version, which a heartbeat carries.
     pub fn announce_config(&self) {
-        self.send_to_all(|| Passed::Heartbeat);
-        self.inward.send_to_all(|| Returned::Heartbeat);
+        self.send_to_all(|| DownItem::Heartbeat);
+        self.inward.send_to_all(|| UpItem::Heartbeat);
     }
 
     /// Tells the entries that rely on this one's reads that the watched rows have changed; a
     /// heartbeat carries their digest.
     pub fn announce_head(&self) {
-        self.inward.send_to_all(|| Returned::Heartbeat);
+        self.inward.send_to_all(|| UpItem::Heartbeat);
     }
 
     /// Asks all linked entries for a configuration newer than the one given.
     pub fn request_config(&self, version: id::Version) {
-        self.send_to_all(|| Passed::WantConfig(version));
-        self.inward.send_to_all(|| Returned::WantConfig(version));
+        self.send_to_all(|| DownItem::WantConfig(version));
+        self.inward.send_to_all(|| UpItem::WantConfig(version));
     }
 
-    fn send_to_all(&self, item: impl Fn() -> Passed) {
+    fn send_to_all(&self, item: impl Fn() -> DownItem) {
         let links = self.links.lock().expect("not poisoned");
         for link in links.values() {
             if let Some(tx) = &*link.tx.lock().expect("not poisoned") {
@@ -93,7 +93,7 @@
         let mut versions = self.versions.lock().expect("not poisoned");
         if versions.insert(entry.clone(), version) != Some(version) {
             self.inward
-                .send_to_all(|| Returned::Versions(versions.clone()));
+                .send_to_all(|| UpItem::Versions(versions.clone()));
         }
     }
 
@@ -128,7 +128,7 @@
         submission: Arc<Submission>,
     ) -> (bool, Option<Arc<Ending>>) {
         let submission = Box::new(Submission::clone(&submission));
-        self.pass_on(addr, |seq| Passed::Submit(seq, submission))
+        self.pass_on(addr, |seq| DownItem::Submit(seq, submission))
             .await
     }
 
@@ -138,13 +138,13 @@
         addr: &CompactString,
         key: id::JobKey,
     ) -> (bool, Option<Arc<Ending>>) {
-        self.pass_on(addr, |seq| Passed::Cancel(seq, key)).await
+        self.pass_on(addr, |seq| DownItem::Cancel(seq, key)).await
     }
 
     async fn pass_on(
         &self,
         addr: &CompactString,
-        item: impl FnOnce(u64) -> Passed,
+        item: impl FnOnce(u64) -> DownItem,
     ) -> (bool, Option<Arc<Ending>>) {
         let link = self.link(addr);
         let Some(tx) = link.tx.lock().expect("not poisoned").clone() else {
@@ -226,7 +226,7 @@
     pub fn send_config(&self, config: &class::Versioned) {
         let tx = self.tx.lock().expect("not poisoned");
         if let Some(tx) = &*tx {
-            let _ = tx.send(Passed::Config(Box::new(config.clone())));
+            let _ = tx.send(DownItem::Config(Box::new(config.clone())));
         }
     }
 
@@ -248,9 +248,9 @@
         self.connection.lock().expect("not poisoned").clone()
     }
 
-    /// Tells whether the owner wasn't heard for [`LATE`], so that a heartbeat is overdue.
+    /// Tells whether the owner wasn't heard for [`SUSPECT_AFTER`], so that a heartbeat is overdue.
     pub fn is_heartbeat_overdue(&self) -> bool {
-        self.last_heard.lock().expect("not poisoned").elapsed() > LATE
+        self.last_heard.lock().expect("not poisoned").elapsed() > SUSPECT_AFTER
     }
 
     /// Marks the link as connecting; returns false if an attempt to connect is already under way.
@@ -259,7 +259,7 @@
     }
 
     /// Ends an attempt to connect; `tx` is the sending half if it succeeded.
-    pub fn end_connecting(&self, tx: Option<link::Sender<Passed>>) {
+    pub fn end_connecting(&self, tx: Option<link::Sender<DownItem>>) {
         if let Some(tx) = tx {
             *self.tx.lock().expect("not poisoned") = Some(tx);
         }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -112,7 +112,7 @@
         } else {
             Operation::Write
         };
-        let Ok(body) = incoming.read(MAX_BODY).await else {
+        let Ok(body) = incoming.read_body(MAX_BODY).await else {
             return Reply::refusal(&Refusal::new(code::Code::BadJson));
         };
         let faults = self.faults.lock().expect("the faults are whole").clone();
--- a/src/wire/agent.rs
+++ b/src/wire/agent.rs
@@ -93,7 +93,7 @@
 const LISTED: usize = 120;
 
 /// About how many bytes an order takes on the wire.
-pub fn weigh_order(order: &order::Order) -> usize {
+pub fn estimate_order_bytes(order: &order::Order) -> usize {
     match order {
         order::Order::Start(start) => ITEM + start.input.get().len(),
         order::Order::Resolve(ids) => ids.len() * LISTED,
@@ -102,7 +102,7 @@
 }
 
 /// About how many bytes a notice takes on the wire.
-pub fn weigh_notice(notice: &notice::Notice) -> usize {
+pub fn estimate_notice_bytes(notice: &notice::Notice) -> usize {
     match notice {
         notice::Notice::Answer(answer) => match &answer.outcome {
             task::Outcome::Done(value) => ITEM + value.get().len(),
--- a/src/wire/closing.rs
+++ b/src/wire/closing.rs
@@ -30,7 +30,7 @@
     }
 
     /// A connection that breaks when the switch is closed.
-    pub fn connect(&self, stream: TcpStream) -> Connection {
+    pub fn wrap(&self, stream: TcpStream) -> Connection {
         let mut rx = self.0.subscribe();
         let closed = async move {
             // An error says that the server has been dropped, which ends its connections as well.
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -79,35 +79,35 @@
 }
 
 /// Counts a message that leaves, with its bytes.
-pub type Sent<Out> = Arc<dyn Fn(&Out, usize) + Send + Sync>;
+pub type OnSent<Out> = Arc<dyn Fn(&Out, usize) + Send + Sync>;
 
 /// Tells about how many bytes an item takes on the wire.
-pub type Weigh<Item> = fn(&Item) -> usize;
+pub type EstimateBytes<Item> = fn(&Item) -> usize;
 
 /// Groups the items of one link into one message.
 pub type Group<Item, Out> = Arc<dyn Fn(Vec<Item>) -> Out + Send + Sync>;
 
 /// Takes the hello of a new link and the way back, and tells how the link groups its items.
 /// Dropping the sender closes the link.
-pub type Greet<Hello, Item, Out> =
+pub type OnOpen<Hello, Item, Out> =
     Arc<dyn Fn(Hello, Sender<Item>) -> Group<Item, Out> + Send + Sync>;
 
 /// What a server does with its links.
-pub struct Service<Hello, Item, In, Out> {
+pub struct ServerHandlers<Hello, Item, In, Out> {
     /// Takes a new link.
-    pub greet: Greet<Hello, Item, Out>,
+    pub on_open: OnOpen<Hello, Item, Out>,
     /// Takes one message of a client.
-    pub take: Arc<dyn Fn(In) + Send + Sync>,
+    pub on_message: Arc<dyn Fn(In) + Send + Sync>,
     /// Counts a message of the server that leaves, with its bytes.
-    pub sent: Sent<Out>,
+    pub on_sent: OnSent<Out>,
     /// Weighs an item of the server.
-    pub weigh: Weigh<Item>,
+    pub estimate_bytes: EstimateBytes<Item>,
 }
 
 /// Binds a server of links.
 pub async fn bind<Hello, Item, In, Out>(
     addr: net::SocketAddr,
-    service: Service<Hello, Item, In, Out>,
+    service: ServerHandlers<Hello, Item, In, Out>,
 ) -> anyhow::Result<Server>
 where
     Hello: DeserializeOwned + Send + 'static,
@@ -123,7 +123,7 @@
         .enable_ws_ping(pings())
         .ws_only()
         .build();
-    let inbox = inbox(service.take.clone());
+    let inbox = inbox(service.on_message.clone());
     let layers = rpc::RpcServiceBuilder::new().layer_fn(move |inner| Inbox {
         inner,
         deliver: inbox.clone(),
@@ -142,8 +142,8 @@
 /// Turns what waits into one message on the wire.
 struct Outbox<Item, Out> {
     group: Group<Item, Out>,
-    sent: Sent<Out>,
-    weigh: Weigh<Item>,
+    on_sent: OnSent<Out>,
+    estimate_bytes: EstimateBytes<Item>,
     rx: Receiver<Item>,
     waiting: VecDeque<Item>,
 }
@@ -163,7 +163,7 @@
         let mut bytes = 0;
         let mut count = 0;
         for item in &self.waiting {
-            bytes += (self.weigh)(item);
+            bytes += (self.estimate_bytes)(item);
             if count > 0 && bytes > MAX_GROUP_BYTES {
                 break;
             }
@@ -176,37 +176,40 @@
     fn encode(&self, items: Vec<Item>) -> serde_json::Result<Box<value::RawValue>> {
         let message = (self.group)(items);
         let raw = value::to_raw_value(&message)?;
-        (self.sent)(&message, raw.get().len() + ENVELOPE);
+        (self.on_sent)(&message, raw.get().len() + ENVELOPE);
         Ok(raw)
     }
 }
 
 fn module<Hello, Item, In, Out>(
-    service: Service<Hello, Item, In, Out>,
+    service: ServerHandlers<Hello, Item, In, Out>,
 ) -> anyhow::Result<RpcModule<()>>
 where
     Hello: DeserializeOwned + Send + 'static,
     Item: Send + 'static,
     Out: Serialize + Send + 'static,
 {
-    let Service {
-        greet, sent, weigh, ..
+    let ServerHandlers {
+        on_open,
+        on_sent,
+        estimate_bytes,
+        ..
     } = service;
     let mut module = RpcModule::new(());
     module.register_subscription("open", "up", "close", move |params, pending, _, _| {
-        let greet = greet.clone();
-        let sent = sent.clone();
+        let on_open = on_open.clone();
+        let on_sent = on_sent.clone();
         let hello = params.one::<Hello>();
         async move {
             let Ok(hello) = hello else {
                 return Err(core::SubscriptionError::from("the hello can't be read"));
             };
             let (tx, rx) = mpsc::unbounded_channel();
-            let group = greet(hello, tx);
+            let group = on_open(hello, tx);
             let outbox = Outbox {
                 group,
-                sent,
-                weigh,
+                on_sent,
+                estimate_bytes,
                 rx,
                 waiting: VecDeque::new(),
             };
@@ -299,17 +302,17 @@
 }
 
 /// What a client of a link does.
-pub struct Peer<Item, In, Out> {
+pub struct ClientHandlers<Item, In, Out> {
     /// Takes one message of the server.
-    pub take: Arc<dyn Fn(In) + Send + Sync>,
+    pub on_message: Arc<dyn Fn(In) + Send + Sync>,
     /// Groups items into one message of the client.
     pub group: Group<Item, Out>,
     /// Counts a message of the client that leaves, with its bytes.
-    pub sent: Sent<Out>,
+    pub on_sent: OnSent<Out>,
     /// Weighs an item of the client.
-    pub weigh: Weigh<Item>,
+    pub estimate_bytes: EstimateBytes<Item>,
     /// Runs once when the link is gone.
-    pub closed: Box<dyn FnOnce() + Send>,
+    pub on_closed: Box<dyn FnOnce() + Send>,
 }
 
 /// Connects a link that sends what comes from `rx`, and closes once that channel does.
@@ -321,7 +324,7 @@
     addr: &str,
     hello: Hello,
     rx: Receiver<Item>,
-    peer: Peer<Item, In, Out>,
+    peer: ClientHandlers<Item, In, Out>,
 ) -> anyhow::Result<()>
 where
     Hello: Serialize + Send + 'static,
@@ -341,18 +344,18 @@
     params.insert(hello)?;
     let outbox = Outbox {
         group: peer.group,
-        sent: peer.sent,
-        weigh: peer.weigh,
+        on_sent: peer.on_sent,
+        estimate_bytes: peer.estimate_bytes,
         rx,
         waiting: VecDeque::new(),
     };
     let subscription: Subscription<In> = client.subscribe("open", params, "close").await?;
     tokio::spawn(async move {
         tokio::select! {
-            () = read(subscription, peer.take) => {}
+            () = read(subscription, peer.on_message) => {}
             () = write_down(client, outbox) => {}
         }
-        (peer.closed)();
+        (peer.on_closed)();
     });
     Ok(())
 }
--- a/src/wire/objects.rs
+++ b/src/wire/objects.rs
@@ -45,7 +45,7 @@
 ///
 /// Guards against a caller or a backend server that writes a reference of its own and would so be
 /// given another client account's object: what they write is always a value, never a reference.
-pub fn goes_outside(value: &RawValue, limit: usize) -> bool {
+pub fn needs_object_store(value: &RawValue, limit: usize) -> bool {
     value.get().len() > limit || reference(value).is_some()
 }
 
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -16,7 +16,7 @@
 pub const HEARTBEAT: time::Duration = time::Duration::from_secs(1);
 
 /// Silence after which the other entry begins to watch whether the owner still beats in the table.
-pub const LATE: time::Duration = time::Duration::from_millis(1_500);
+pub const SUSPECT_AFTER: time::Duration = time::Duration::from_millis(1_500);
 
 /// Silence after which the other entry takes the link for dead.
 pub const SILENCE: time::Duration = time::Duration::from_millis(2_500);
@@ -40,13 +40,13 @@
     /// The sender's configuration version, so that news spreads on messages.
     pub config: id::Version,
     /// What is passed on.
-    pub items: Vec<Passed>,
+    pub items: Vec<DownItem>,
 }
 
 /// One thing that is passed to an owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Passed {
+pub enum DownItem {
     /// A submission; `seq` is the sender's own number for its answer.
     Submit(u64, Box<submission::Submission>),
     /// A cancellation.
@@ -74,7 +74,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub head: Option<Head>,
     /// What it has to say.
-    pub items: Vec<Returned>,
+    pub items: Vec<UpItem>,
 }
 
 /// What an owner tells of the watched rows, so that others need not read them.
@@ -89,7 +89,7 @@
 /// One thing that an owner returns.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Returned {
+pub enum UpItem {
     /// How a submission ended.
     Ending(u64, Arc<submission::Ending>),
     /// The receiver isn't the owner, or no longer; the sender looks again.
@@ -105,8 +105,8 @@
 }
 
 /// The kind under which a message to the owner is counted.
-pub fn kind_down(items: &[Passed]) -> count::Kind {
-    let forwards = |item: &Passed| matches!(item, Passed::Submit(..) | Passed::Cancel(..));
+pub fn kind_down(items: &[DownItem]) -> count::Kind {
+    let forwards = |item: &DownItem| matches!(item, DownItem::Submit(..) | DownItem::Cancel(..));
     if items.iter().any(forwards) {
         count::Kind::Forward
     } else {
@@ -115,8 +115,8 @@
 }
 
 /// The kind under which a message of the owner is counted.
-pub fn kind_up(items: &[Returned]) -> count::Kind {
-    let forwards = |item: &Returned| matches!(item, Returned::Ending(..) | Returned::NotOwner(_));
+pub fn kind_up(items: &[UpItem]) -> count::Kind {
+    let forwards = |item: &UpItem| matches!(item, UpItem::Ending(..) | UpItem::NotOwner(_));
     if items.iter().any(forwards) {
         count::Kind::Forward
     } else {
@@ -128,23 +128,23 @@
 const ITEM: usize = 300;
 
 /// About how many bytes an item to the owner takes on the wire.
-pub fn weigh_down(item: &Passed) -> usize {
+pub fn estimate_down_bytes(item: &DownItem) -> usize {
     match item {
-        Passed::Submit(_, submission) => {
+        DownItem::Submit(_, submission) => {
             let tasks = submission.job.tasks.iter();
             ITEM + tasks
                 .map(|task| ITEM + task.input.get().len())
                 .sum::<usize>()
         }
-        Passed::Config(_) => class::MAX_DOCUMENT_BYTES,
+        DownItem::Config(_) => class::MAX_DOCUMENT_BYTES,
         _ => ITEM,
     }
 }
 
 /// About how many bytes an item of the owner takes on the wire.
-pub fn weigh_up(item: &Returned) -> usize {
+pub fn estimate_up_bytes(item: &UpItem) -> usize {
     match item {
-        Returned::Ending(_, ending) => match &**ending {
+        UpItem::Ending(_, ending) => match &**ending {
             submission::Ending::Complete(answers) => {
                 ITEM + answers
                     .iter()
@@ -153,7 +153,7 @@
             }
             submission::Ending::Failed(_) => ITEM,
         },
-        Returned::Config(_) => class::MAX_DOCUMENT_BYTES,
+        UpItem::Config(_) => class::MAX_DOCUMENT_BYTES,
         _ => ITEM,
     }
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -165,11 +165,11 @@
 /// Connects to the platform at `addr` (host and port). Each call takes `limit` at the longest,
 /// beside its wait for the budget of [`budget::ENTRY_LIMITS`].
 pub fn connect(addr: &str, limit: time::Duration, messages: count::Messages) -> Platform {
-    connect_within(addr, limit, messages, budget::ENTRY_LIMITS)
+    connect_with_limits(addr, limit, messages, budget::ENTRY_LIMITS)
 }
 
 /// Connects as [`connect`] does, with another budget.
-pub fn connect_within(
+pub fn connect_with_limits(
     addr: &str,
     limit: time::Duration,
     messages: count::Messages,
--- a/src/wire/rows.rs
+++ b/src/wire/rows.rs
@@ -35,7 +35,7 @@
 }
 
 /// The row that an owner changes every second, so that others can see that it lives.
-pub fn beat(cell: id::Cell) -> CompactString {
+pub fn heartbeat(cell: id::Cell) -> CompactString {
     format_compact!("beat/{cell:05}")
 }
 
--- a/src/wire/server.rs
+++ b/src/wire/server.rs
@@ -42,7 +42,7 @@
     /// # Errors
     ///
     /// Refuses a body that is over `max` bytes, broken off or too slow.
-    pub async fn read(self, max: usize) -> Result<Bytes, refusal::Refusal> {
+    pub async fn read_body(self, max: usize) -> Result<Bytes, refusal::Refusal> {
         let limited = Limited::new(self.body, max);
         match tokio::time::timeout(BODY_TIMEOUT, limited.collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -151,7 +151,7 @@
     let serving = tokio::spawn(async move {
         gotham::bind_server(listener, new_handler, |stream| {
             let _ = stream.set_nodelay(true);
-            std::future::ready(Ok::<_, ()>(switch.connect(stream)))
+            std::future::ready(Ok::<_, ()>(switch.wrap(stream)))
         })
         .await;
     });
--- a/tests/claims_ownership.rs
+++ b/tests/claims_ownership.rs
@@ -110,7 +110,7 @@
     let value = serde_json::to_string(&silent).unwrap();
     let first = Transaction::put(&rows::cell(0), value);
     memory.store.lock().unwrap().commit(&first);
-    let heartbeat = Transaction::put(&rows::beat(0), "[5,1]".to_owned());
+    let heartbeat = Transaction::put(&rows::heartbeat(0), "[5,1]".to_owned());
     memory.store.lock().unwrap().commit(&heartbeat);
 
     let woke = Arc::new(Mutex::new(None));
@@ -118,7 +118,7 @@
     let platform = memory.platform_with_faults(Box::new(move |operation| {
         let mut woke = waking.lock().unwrap();
         if operation == Operation::Write && woke.is_none() {
-            let heartbeat = Transaction::put(&rows::beat(0), "[5,2]".to_owned());
+            let heartbeat = Transaction::put(&rows::heartbeat(0), "[5,2]".to_owned());
             store.lock().unwrap().commit(&heartbeat);
             *woke = Some(time::Instant::now());
         }
--- a/tests/config_force.rs
+++ b/tests/config_force.rs
@@ -339,17 +339,17 @@
         let owner = open("entry-0", memory.platform()).await;
         support::until("an owner", || owner.owns_any()).await;
         let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
-        let ends = link::Peer {
-            take: Arc::new(|_: Value| {}),
-            group: Arc::new(|items: Vec<peer::Passed>| peer::Down {
+        let ends = link::ClientHandlers {
+            on_message: Arc::new(|_: Value| {}),
+            group: Arc::new(|items: Vec<peer::DownItem>| peer::Down {
                 entry: "entry-9".into(),
                 link: 5,
                 config: 1,
                 items,
             }),
-            sent: Arc::new(|_, _| {}),
-            weigh: |_| 1,
-            closed: Box::new(|| {}),
+            on_sent: Arc::new(|_, _| {}),
+            estimate_bytes: |_| 1,
+            on_closed: Box::new(|| {}),
         };
         let hello = peer::Hello {
             entry: "entry-9".into(),
@@ -357,7 +357,7 @@
         };
         let addr = owner.peer_addr().to_string();
         link::connect(&addr, hello, rx, ends).await.unwrap();
-        tx.send(peer::Passed::Heartbeat).unwrap();
+        tx.send(peer::DownItem::Heartbeat).unwrap();
         assert_eq!(change(&owner, 1, 700).await["version"], 2);
         while get(&owner, "/v1/status").await.1["stragglers"] != serde_json::json!(["entry-9"]) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
--- a/tests/contract_budget.rs
+++ b/tests/contract_budget.rs
@@ -79,7 +79,8 @@
             reads: 2.0,
             writes: 0.001,
         };
-        let platform = platform::connect_within(&server.addr(), ms(700), messages.clone(), limits);
+        let platform =
+            platform::connect_with_limits(&server.addr(), ms(700), messages.clone(), limits);
         let mut reads = Vec::new();
         for _ in 0..5 {
             reads.push(tokio::spawn((platform.table.get)("a".into())));
--- a/tests/contract_link_limits.rs
+++ b/tests/contract_link_limits.rs
@@ -22,8 +22,8 @@
     let tx: Arc<Mutex<Option<link::Sender<u64>>>> = Arc::default();
     let keeping = tx.clone();
     let (leaving, left) = mpsc::unbounded_channel();
-    let service = link::Service {
-        greet: Arc::new(move |(): (), tx| {
+    let service = link::ServerHandlers {
+        on_open: Arc::new(move |(): (), tx| {
             *keeping.lock().unwrap() = Some(tx);
             let leaving = leaving.clone();
             Arc::new(move |items: Vec<u64>| {
@@ -31,9 +31,9 @@
                 items
             })
         }),
-        take: Arc::new(|_: Vec<u64>| {}),
-        sent: Arc::new(|_, _| {}),
-        weigh: |_| 1,
+        on_message: Arc::new(|_: Vec<u64>| {}),
+        on_sent: Arc::new(|_, _| {}),
+        estimate_bytes: |_| 1,
     };
     let server = link::bind(path::any_port(), service).await.unwrap();
     Host { server, tx, left }
@@ -48,12 +48,12 @@
     let closed: Arc<AtomicBool> = Arc::default();
     let closing = closed.clone();
     let (tx, rx) = mpsc::unbounded_channel();
-    let peer = link::Peer {
-        take: Arc::new(take),
+    let peer = link::ClientHandlers {
+        on_message: Arc::new(take),
         group: Arc::new(|items: Vec<u64>| items),
-        sent: Arc::new(|_, _| {}),
-        weigh: |_| 1,
-        closed: Box::new(move || closing.store(true, Ordering::SeqCst)),
+        on_sent: Arc::new(|_, _| {}),
+        estimate_bytes: |_| 1,
+        on_closed: Box::new(move || closing.store(true, Ordering::SeqCst)),
     };
     let addr = host.server.addr().to_string();
     link::connect(&addr, (), rx, peer).await.unwrap();
@@ -143,14 +143,16 @@
     support::block_on(async {
         let taken: Arc<Mutex<Vec<usize>>> = Arc::default();
         let taking = taken.clone();
-        let service = link::Service {
-            greet: Arc::new(|(): (), tx: link::Sender<()>| {
+        let service = link::ServerHandlers {
+            on_open: Arc::new(|(): (), tx: link::Sender<()>| {
                 // The link stays open for as long as somebody holds its sending half.
                 Arc::new(move |_: Vec<()>| drop(tx.clone()))
             }),
-            take: Arc::new(move |items: Vec<String>| taking.lock().unwrap().push(items.len())),
-            sent: Arc::new(|(), _| {}),
-            weigh: |()| 1,
+            on_message: Arc::new(move |items: Vec<String>| {
+                taking.lock().unwrap().push(items.len())
+            }),
+            on_sent: Arc::new(|(), _| {}),
+            estimate_bytes: |()| 1,
         };
         let server = link::bind(path::any_port(), service).await.unwrap();
         let closed: Arc<AtomicBool> = Arc::default();
@@ -159,12 +161,12 @@
         for _ in 0..COUNT {
             tx.send("x".repeat(LARGE)).unwrap();
         }
-        let peer = link::Peer {
-            take: Arc::new(|(): ()| {}),
+        let peer = link::ClientHandlers {
+            on_message: Arc::new(|(): ()| {}),
             group: Arc::new(|items: Vec<String>| items),
-            sent: Arc::new(|_, _| {}),
-            weigh: String::len,
-            closed: Box::new(move || closing.store(true, Ordering::SeqCst)),
+            on_sent: Arc::new(|_, _| {}),
+            estimate_bytes: String::len,
+            on_closed: Box::new(move || closing.store(true, Ordering::SeqCst)),
         };
         let addr = server.addr().to_string();
         link::connect(&addr, (), rx, peer).await.unwrap();
--- a/tests/contract_links.rs
+++ b/tests/contract_links.rs
@@ -59,8 +59,8 @@
     let (taking, loading, closing) = (got.clone(), slots.clone(), closed.clone());
     let (tx, rx) = mpsc::unbounded_channel();
     let (leaving, left) = mpsc::unbounded_channel();
-    let peer = link::Peer {
-        take: Arc::new(move |message: Value| {
+    let peer = link::ClientHandlers {
+        on_message: Arc::new(move |message: Value| {
             let load = message["load"]["slots"].as_u64();
             loading.store(load.unwrap_or(0), Ordering::SeqCst);
             let items = message.get("notices").or(message.get("items"));
@@ -72,9 +72,9 @@
             leaving.send(()).unwrap();
             messages.remove(0)
         }),
-        sent: Arc::new(|_, _| {}),
-        weigh: |_| 1,
-        closed: Box::new(move || closing.store(true, Ordering::SeqCst)),
+        on_sent: Arc::new(|_, _| {}),
+        estimate_bytes: |_| 1,
+        on_closed: Box::new(move || closing.store(true, Ordering::SeqCst)),
     };
     let hello: Value = serde_json::from_str(hello).unwrap();
     // A hello that is refused shows as a link that never comes about.
--- a/tests/contract_objects.rs
+++ b/tests/contract_objects.rs
@@ -78,7 +78,7 @@
         let counting = counting.clone();
         async move {
             counting.fetch_add(1, Ordering::SeqCst);
-            let body = incoming.read(caller::MAX_BODY).await.unwrap();
+            let body = incoming.read_body(caller::MAX_BODY).await.unwrap();
             Reply::bytes(StatusCode::OK, mime::APPLICATION_JSON, body)
         }
     })
--- a/tests/contract_silence.rs
+++ b/tests/contract_silence.rs
@@ -20,7 +20,7 @@
 use lovagemill::wire::caller;
 use lovagemill::wire::http;
 use lovagemill::wire::link;
-use lovagemill::wire::peer::{self, Passed, Returned};
+use lovagemill::wire::peer::{self, DownItem, UpItem};
 use lovagemill::wire::platform::Transaction;
 use lovagemill::wire::rows;
 use serde_json::value::RawValue;
@@ -88,8 +88,8 @@
 ) -> (link::Server, Arc<FakeAgent>) {
     let fake: Arc<FakeAgent> = Arc::default();
     let (greet_fake, take_fake) = (fake.clone(), fake.clone());
-    let service = link::Service {
-        greet: Arc::new(move |hello: agent::Hello, tx: link::Sender<Notice>| {
+    let service = link::ServerHandlers {
+        on_open: Arc::new(move |hello: agent::Hello, tx: link::Sender<Notice>| {
             let number = greet_fake.links_opened.fetch_add(1, Ordering::SeqCst) + 1;
             if number > 1 || fault == FirstLinkFault::NothingReceived {
                 let _ = tx.send(Notice::Welcome(notice::Welcome {
@@ -112,9 +112,9 @@
                 received,
             })
         }),
-        sent: Arc::new(|_, _| {}),
-        weigh: |_| 1,
-        take: Arc::new(move |down: agent::Down| {
+        on_sent: Arc::new(|_, _| {}),
+        estimate_bytes: |_| 1,
+        on_message: Arc::new(move |down: agent::Down| {
             if take_fake.links_opened.load(Ordering::SeqCst) > 1 {
                 down.orders
                     .into_iter()
@@ -202,13 +202,13 @@
         let memory = MemoryPlatform::open();
         let links: Arc<AtomicU64> = Arc::default();
         let passed: Arc<AtomicU64> = Arc::default();
-        let current_tx: Arc<Mutex<Option<link::Sender<Returned>>>> = Arc::default();
+        let current_tx: Arc<Mutex<Option<link::Sender<UpItem>>>> = Arc::default();
         let (greet_tx, greet_links) = (current_tx.clone(), links.clone());
         let (take_tx, take_links, take_passed) = (current_tx, links.clone(), passed.clone());
-        let service = link::Service {
-            greet: Arc::new(move |hello: peer::Hello, tx: link::Sender<Returned>| {
+        let service = link::ServerHandlers {
+            on_open: Arc::new(move |hello: peer::Hello, tx: link::Sender<UpItem>| {
                 let number = greet_links.fetch_add(1, Ordering::SeqCst) + 1;
-                tokio::spawn(send_heartbeats(tx.clone(), || Returned::Heartbeat));
+                tokio::spawn(send_heartbeats(tx.clone(), || UpItem::Heartbeat));
                 *greet_tx.lock().unwrap() = Some(tx);
                 Arc::new(move |items| peer::Up {
                     entry: "owner".into(),
@@ -219,18 +219,18 @@
                     items,
                 })
             }),
-            sent: Arc::new(|_, _| {}),
-            weigh: |_| 1,
-            take: Arc::new(move |down: peer::Down| {
+            on_sent: Arc::new(|_, _| {}),
+            estimate_bytes: |_| 1,
+            on_message: Arc::new(move |down: peer::Down| {
                 for item in down.items {
-                    let Passed::Submit(seq, _) = item else {
+                    let DownItem::Submit(seq, _) = item else {
                         continue;
                     };
                     take_passed.fetch_add(1, Ordering::SeqCst);
                     if take_links.load(Ordering::SeqCst) > 1 {
                         let ending = Arc::new(submission::Ending::Complete(vec![number(7)]));
                         let tx = take_tx.lock().unwrap().clone().unwrap();
-                        let _ = tx.send(Returned::Ending(seq, ending));
+                        let _ = tx.send(UpItem::Ending(seq, ending));
                     }
                 }
             }),
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -232,7 +232,7 @@
         rows::ENTRIES.into(),
         rows::members(3),
         rows::cell(3),
-        rows::beat(3),
+        rows::heartbeat(3),
         rows::entry("entry-1"),
         rows::agents(3),
         rows::agent(3, "agent-0"),
--- a/tests/formats/live.rs
+++ b/tests/formats/live.rs
@@ -17,28 +17,28 @@
 fn lines_of_a_link() {
     let (tx, mut seen) = mpsc::unbounded_channel();
     let (up, down) = (tx.clone(), tx);
-    let service = link::Service {
-        greet: Arc::new(move |hello: Value, tx: link::Sender<Value>| {
+    let service = link::ServerHandlers {
+        on_open: Arc::new(move |hello: Value, tx: link::Sender<Value>| {
             tx.send(hello).unwrap();
             // A link whose sender is dropped closes.
             let group = move |items: Vec<Value>| json!([tx.is_closed(), items]);
             Arc::new(group) as link::Group<Value, Value>
         }),
-        take: Arc::new(move |_: Value| down.send("down").unwrap()),
-        sent: Arc::new(|_: &Value, _| {}),
-        weigh: |_: &Value| 1,
+        on_message: Arc::new(move |_: Value| down.send("down").unwrap()),
+        on_sent: Arc::new(|_: &Value, _| {}),
+        estimate_bytes: |_: &Value| 1,
     };
     let (closed, lines) = support::block_on(async {
         let server = link::bind(path::any_port(), service).await.unwrap();
         let spy = record::Spy::open(server.addr());
         let (items, rx) = mpsc::unbounded_channel();
         items.send(json!("item")).unwrap();
-        let peer = link::Peer {
-            take: Arc::new(move |_: Value| up.send("up").unwrap()),
+        let peer = link::ClientHandlers {
+            on_message: Arc::new(move |_: Value| up.send("up").unwrap()),
             group: Arc::new(|items: Vec<Value>| json!(items)),
-            sent: Arc::new(|_: &Value, _| {}),
-            weigh: |_: &Value| 1,
-            closed: Box::new(|| {}),
+            on_sent: Arc::new(|_: &Value, _| {}),
+            estimate_bytes: |_: &Value| 1,
+            on_closed: Box::new(|| {}),
         };
         let hello = json!("hello");
         link::connect(&spy.addr.to_string(), hello, rx, peer)
--- a/tests/processes/traces.rs
+++ b/tests/processes/traces.rs
@@ -42,7 +42,7 @@
         let spans = spans.clone();
         async move {
             let is_traces = incoming.uri.path() == "/v1/traces";
-            let body = incoming.read(1 << 24).await.expect("a whole body");
+            let body = incoming.read_body(1 << 24).await.expect("a whole body");
             let request = ExportTraceServiceRequest::decode(body).expect("OTLP");
             let scopes = request
                 .resource_spans
