--- a/src/agent/announce.rs
+++ b/src/agent/announce.rs
@@ -1,45 +1,46 @@
-//! Where the backend server beside the agent announces itself, over HTTP.
+//! The HTTP server of an agent, at which the backend server beside it announces itself. It also
+//! serves the agent's health check and metrics.
 
 use std::net;
 use std::sync::Arc;
 
 use gotham::hyper::StatusCode;
 
-use crate::agent::runner::Work;
+use crate::agent::runner::Runner;
 use crate::code;
 use crate::refusal::Refusal;
 use crate::wire::backend;
 use crate::wire::server::{self, Incoming, Reply};
 
-/// Largest announcement, in bytes.
+/// Largest body of an announcement, in bytes.
 const MAX_BODY: usize = 4 * 1024;
 
-/// Binds the server.
-pub async fn bind(addr: net::SocketAddr, work: Arc<Work>) -> anyhow::Result<server::Server> {
+/// Binds the agent's HTTP server to `addr` and serves requests until it is stopped.
+pub async fn bind(addr: net::SocketAddr, runner: Arc<Runner>) -> anyhow::Result<server::Server> {
     let handler = move |incoming: Incoming| {
-        let work = work.clone();
-        async move { handle(incoming, &work).await }
+        let runner = runner.clone();
+        async move { handle(incoming, &runner).await }
     };
     server::bind(addr, handler).await
 }
 
-async fn handle(incoming: Incoming, work: &Arc<Work>) -> Reply {
+async fn handle(incoming: Incoming, runner: &Arc<Runner>) -> Reply {
     let path = incoming.uri.path().to_owned();
     match (incoming.method.as_str(), path.as_str()) {
-        ("POST", "/v1/announce") => match announce(incoming, work).await {
+        ("POST", "/v1/announce") => match announce(incoming, runner).await {
             Ok(()) => Reply::text(StatusCode::OK, String::new()),
             Err(refusal) => Reply::refusal(&refusal),
         },
         ("GET", "/healthz") => Reply::text(StatusCode::OK, "ok\n".to_owned()),
-        ("GET", "/metrics") => Reply::text(StatusCode::OK, work.metrics()),
+        ("GET", "/metrics") => Reply::text(StatusCode::OK, runner.metrics()),
         _ => Reply::refusal(&Refusal::detailed(code::Code::NotFound, &path)),
     }
 }
 
-async fn announce(incoming: Incoming, work: &Arc<Work>) -> Result<(), Refusal> {
+async fn announce(incoming: Incoming, runner: &Arc<Runner>) -> Result<(), Refusal> {
     let body = incoming.read_body(MAX_BODY).await?;
     let announcement: backend::Announcement = serde_json::from_slice(&body)
         .map_err(|e| Refusal::detailed(code::Code::BadJson, &e.to_string()))?;
-    work.announce(announcement);
+    runner.handle_announcement(announcement);
     Ok(())
 }
--- a/src/agent/join.rs
+++ b/src/agent/join.rs
@@ -1,4 +1,5 @@
-//! How an agent joins its cell and leaves it: its row first, the epoch after.
+//! Joins an agent to its cell and takes it out again. To join, the agent writes its row before it
+//! reads the cell's epoch.
 
 use std::sync::Arc;
 use std::time;
@@ -7,7 +8,7 @@
 use backon::BackoffBuilder;
 use compact_str::CompactString;
 
-use crate::agent::runner::Work;
+use crate::agent::runner::Runner;
 use crate::clock;
 use crate::decide::inherit;
 use crate::decide::ledger;
@@ -15,23 +16,29 @@
 use crate::wire::platform::{self, Commit, Transaction};
 use crate::wire::rows;
 
-/// Joins the cell, trying again with growing pauses until the table has answered.
-pub async fn join(cell: id::Cell, addr: CompactString, work: Arc<Work>, table: platform::Table) {
-    let mut pauses = pauses();
+/// Joins the cell. Retries with exponential backoff until the table has confirmed the row and
+/// returned the epoch. `addr` is where owners connect (host and port).
+pub async fn join(
+    cell: id::Cell,
+    addr: CompactString,
+    runner: Arc<Runner>,
+    table: platform::Table,
+) {
+    let mut backoff = backoff();
     loop {
-        match try_join(cell, &addr, &work, &table).await {
+        match try_join(cell, &addr, &runner, &table).await {
             Ok(epoch) => {
-                work.join(epoch);
+                runner.join(epoch);
                 log::info!("agent joined cell {cell} at epoch {epoch}");
                 return;
             }
             Err(e) => log::warn!("agent can't join cell {cell} yet: {e}"),
         }
-        tokio::time::sleep(pauses.next().unwrap_or(time::Duration::from_secs(2))).await;
+        tokio::time::sleep(backoff.next().unwrap_or(time::Duration::from_secs(2))).await;
     }
 }
 
-fn pauses() -> backon::ExponentialBackoff {
+fn backoff() -> backon::ExponentialBackoff {
     backon::ExponentialBuilder::default()
         .with_min_delay(time::Duration::from_millis(50))
         .with_max_delay(time::Duration::from_secs(2))
@@ -40,18 +47,19 @@
         .build()
 }
 
-/// Writes the row, then reads the epoch.
+/// Writes the agent's row, then reads and returns the epoch of the cell's owner; 0 if the cell
+/// never had an owner.
 ///
-/// Guards against an owner of the past that starts tasks on a life which its successor never
-/// fenced: either the successor's read of the members finds the row, or this read finds the
-/// successor's epoch.
+/// This order prevents a superseded owner from starting tasks on an incarnation that its successor
+/// has not fenced: either the successor finds the row when it reads the members, or this read finds
+/// the successor's epoch.
 async fn try_join(
     cell: id::Cell,
     addr: &CompactString,
-    work: &Work,
+    runner: &Runner,
     table: &platform::Table,
 ) -> anyhow::Result<id::Epoch> {
-    write_row(cell, addr, work, table).await?;
+    write_row(cell, addr, runner, table).await?;
     let row = (table.get)(rows::cell(cell)).await;
     let row = row.map_err(|e| anyhow!("the cell's row can't be read: {e:?}"))?;
     let Some(row) = row else {
@@ -61,55 +69,59 @@
     Ok(owner.epoch)
 }
 
+/// Writes the row of this incarnation, which lists the earlier ones that were lost. Does nothing if
+/// the row is already there.
 async fn write_row(
     cell: id::Cell,
     addr: &CompactString,
-    work: &Work,
+    runner: &Runner,
     table: &platform::Table,
 ) -> anyhow::Result<()> {
-    let key = rows::agent(cell, work.id());
+    let key = rows::agent(cell, runner.id());
     let before = (table.get)(key.clone()).await;
     let before = before.map_err(|e| anyhow!("the agent's row can't be read: {e:?}"))?;
     let revision = before.as_ref().map_or(0, |row| row.revision);
     let mut row = rows::Agent {
-        incarnation: work.incarnation(),
+        incarnation: runner.incarnation(),
         addr: addr.clone(),
         lost: Vec::new(),
         left: false,
     };
     if let Some(before) = before {
         let before: rows::Agent = serde_json::from_str(&before.value)?;
-        if before.incarnation == work.incarnation() {
-            // The answer to an earlier try was lost after its write took effect.
+        if before.incarnation == runner.incarnation() {
+            // An earlier attempt wrote the row, but its answer was lost.
             return Ok(());
         }
         row.lost = if before.left {
-            recent(before.lost)
+            retain_recent(before.lost)
         } else {
-            lost_lives(before, false)
+            lost_incarnations(before, false)
         };
     }
     let value = serde_json::to_string(&row)?;
     let mut tx = Transaction::put_if(&key, revision, value);
-    tx.writes.push(members_changed(cell, work));
+    tx.writes.push(members_write(cell, runner));
     match (table.commit)(tx).await {
         Ok(Commit::Done(_)) => Ok(()),
-        Ok(Commit::Conflict(_)) => bail!("another life of this agent wrote its row"),
+        Ok(Commit::Conflict(_)) => bail!("another incarnation of this agent wrote its row"),
         Err(e) => Err(anyhow!("the agent's row can't be written: {e:?}")),
     }
 }
 
-/// Changes the row by which the cell's owner sees that its members have changed.
-fn members_changed(cell: id::Cell, work: &Work) -> platform::Write {
+/// Returns the write to the row that the cell's owner watches for changes of its members.
+fn members_write(cell: id::Cell, runner: &Runner) -> platform::Write {
     platform::Write {
         key: rows::members(cell),
-        value: Some(format!("\"{}\"", work.id())),
+        value: Some(format!("\"{}\"", runner.id())),
     }
 }
 
-/// The lives that ended, the one before included, as long as they matter.
-fn lost_lives(before: rows::Agent, claimed: bool) -> Vec<inherit::LostIncarnation> {
-    let mut lost = recent(before.lost);
+/// Returns the lost incarnations that `before` lists and that are still recent, and the incarnation
+/// of `before` itself, lost now. `claimed` says whether the claims of all that it started were
+/// written.
+fn lost_incarnations(before: rows::Agent, claimed: bool) -> Vec<inherit::LostIncarnation> {
+    let mut lost = retain_recent(before.lost);
     lost.push(inherit::LostIncarnation {
         incarnation: before.incarnation,
         at_ms: clock::since_epoch().as_millis() as u64,
@@ -118,39 +130,43 @@
     lost
 }
 
-fn recent(mut lost: Vec<inherit::LostIncarnation>) -> Vec<inherit::LostIncarnation> {
+/// Returns `lost` without the incarnations that were lost more than twice [`ledger::RETENTION`]
+/// ago.
+fn retain_recent(mut lost: Vec<inherit::LostIncarnation>) -> Vec<inherit::LostIncarnation> {
     let now_ms = clock::since_epoch().as_millis() as u64;
-    let keep_ms = 2 * ledger::RETENTION.as_millis() as u64;
-    lost.retain(|life| life.at_ms + keep_ms > now_ms);
+    let retention_ms = 2 * ledger::RETENTION.as_millis() as u64;
+    lost.retain(|l| l.at_ms + retention_ms > now_ms);
     lost
 }
 
-/// Takes the agent out of its cell, and leaves a note of what its memory held.
+/// Takes the agent out of its cell. If this incarnation started tasks, or earlier ones were lost
+/// recently, the row stays and lists them as lost.
 ///
-/// Guards against an owner that takes the cell over after the agent has left: it finds the claim of
-/// a job that was submitted again and nobody who remembers its tasks, and would start them a second
-/// time. The note tells it that they may have run. `claimed` says that the claims of all that this
-/// life started were written before it left.
-pub async fn leave(cell: id::Cell, work: &Work, table: &platform::Table, claimed: bool) {
-    let key = rows::agent(cell, work.id());
+/// This guards against an owner that takes the cell over after the agent has left. If a job is
+/// submitted again, that owner finds its claim but no agent with records of its tasks, and would
+/// start them a second time. From the row it learns that they may have run. `claimed` says whether
+/// the claims of all that this incarnation started were written before it left. Errors of the
+/// table are ignored.
+pub async fn leave(cell: id::Cell, runner: &Runner, table: &platform::Table, claimed: bool) {
+    let key = rows::agent(cell, runner.id());
     let Ok(Some(row)) = (table.get)(key.clone()).await else {
         return;
     };
     let Ok(mut agent) = serde_json::from_str::<rows::Agent>(&row.value) else {
         return;
     };
-    if agent.incarnation != work.incarnation() {
+    if agent.incarnation != runner.incarnation() {
         return;
     }
-    agent.lost = if work.has_started() {
-        lost_lives(agent.clone(), claimed)
+    agent.lost = if runner.has_started_tasks() {
+        lost_incarnations(agent.clone(), claimed)
     } else {
-        recent(agent.lost)
+        retain_recent(agent.lost)
     };
     agent.left = true;
     let value = serde_json::to_string(&agent).ok();
     let mut tx = Transaction::put_if(&key, row.revision, String::new());
     tx.writes[0].value = value.filter(|_| !agent.lost.is_empty());
-    tx.writes.push(members_changed(cell, work));
+    tx.writes.push(members_write(cell, runner));
     let _ = (table.commit)(tx).await;
 }
--- a/src/agent/large.rs
+++ b/src/agent/large.rs
@@ -1,4 +1,5 @@
-//! Large inputs and answers of an agent's tasks, which go through the object store.
+//! Transfers large inputs and answers of an agent's tasks through the object store. Inside messages
+//! they could exceed a link's size limit.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -14,39 +15,41 @@
 use crate::wire::objects;
 use crate::wire::platform;
 
-/// How long a stored answer is kept: a job may take its whole target to end, and its ending is kept
-/// for resubmissions after that.
-pub const LIFE: time::Duration = class::MAX_TARGET.saturating_add(ledger::RETENTION);
+/// How long a large answer stays in the object store: a job may take its whole target to end, and
+/// its outcome is kept for resubmissions after that.
+pub const ANSWER_RETENTION: time::Duration = class::MAX_TARGET.saturating_add(ledger::RETENTION);
 
-/// The object store as an agent uses it.
-pub struct Large {
+/// Fetches large inputs from the object store and stores large answers there.
+pub struct LargeValues {
     store: platform::Objects,
-    /// Answers that were stored, oldest first.
-    kept: Mutex<VecDeque<(time::Instant, CompactString)>>,
+    /// When each answer was stored, and its name in the store; the oldest first.
+    stored: Mutex<VecDeque<(time::Instant, CompactString)>>,
 }
 
-impl Large {
-    /// Opens an agent's use of the object store.
-    pub fn open(store: platform::Objects) -> Large {
-        Large {
+impl LargeValues {
+    /// Uses `store`, and starts without stored answers.
+    pub fn open(store: platform::Objects) -> LargeValues {
+        LargeValues {
             store,
-            kept: Mutex::default(),
+            stored: Mutex::default(),
         }
     }
 
-    /// The input of a task, fetched where it was stored.
+    /// Returns the input of a task; fetches it if `input` is a reference to an object.
     ///
     /// # Errors
     ///
-    /// Returns a code that says "not run": nothing was sent to the backend server yet.
-    pub async fn input(&self, input: Box<RawValue>) -> Result<Box<RawValue>, code::Code> {
+    /// Returns a code of the outcome "not run" if the object can't be fetched: nothing has been
+    /// sent to the backend server by then.
+    pub async fn fetch_input(&self, input: Box<RawValue>) -> Result<Box<RawValue>, code::Code> {
         let loaded = objects::load(&self.store, input).await;
         loaded.map_err(|_| code::Code::StoreDown)
     }
 
-    /// How a task ended, with a large answer stored. One that can't be stored fails the task, which
-    /// ran; sent inside messages it could go over a link's limit.
-    pub async fn outcome(&self, outcome: task::Outcome) -> task::Outcome {
+    /// Stores a large answer and returns the outcome with a reference in its place; returns any
+    /// other outcome as it is. If the answer can't be stored, the task fails although it ran,
+    /// because the answer inside a message could exceed a link's size limit.
+    pub async fn store_answer(&self, outcome: task::Outcome) -> task::Outcome {
         let value = match outcome {
             task::Outcome::Done(value) => value,
             failed @ task::Outcome::Failed(_) => return failed,
@@ -56,20 +59,21 @@
         }
         match objects::store(&self.store, "answer", &value).await {
             Ok((name, stand_in)) => {
-                let mut kept = self.kept.lock().expect("the list is whole");
-                kept.push_back((time::Instant::now(), name));
+                let mut stored = self.stored.lock().expect("not poisoned");
+                stored.push_back((time::Instant::now(), name));
                 task::Outcome::Done(stand_in)
             }
             Err(_) => task::Outcome::Failed(code::Code::AnswerInStore),
         }
     }
 
-    /// Removes answers that nobody may ask for any more.
-    pub fn sweep(&self, now: time::Instant) {
-        let mut kept = self.kept.lock().expect("the list is whole");
-        let is_old = |at: &time::Instant| now.saturating_duration_since(*at) >= LIFE;
-        let old = kept.iter().take_while(|(at, _)| is_old(at)).count();
-        let names = kept.drain(..old).map(|(_, name)| name).collect();
+    /// Removes answers that were stored at least [`ANSWER_RETENTION`] ago and are no longer needed.
+    pub fn remove_expired(&self, now: time::Instant) {
+        let mut stored = self.stored.lock().expect("not poisoned");
+        let is_expired =
+            |at: &time::Instant| now.saturating_duration_since(*at) >= ANSWER_RETENTION;
+        let expired = stored.iter().take_while(|(at, _)| is_expired(at)).count();
+        let names = stored.drain(..expired).map(|(_, name)| name).collect();
         objects::remove(&self.store, names);
     }
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent: the process beside a backend server that owns its slots and starts its tasks.
+//! The agent: a process that runs beside a backend server, manages its slots and starts its tasks
+//! by order of the owner of its cell.
 
 mod announce;
 mod join;
@@ -22,106 +23,113 @@
 use crate::wire::link;
 use crate::wire::platform;
 use crate::wire::server;
-use runner::Work;
+use runner::Runner;
 
-/// What an agent is started with.
+/// The settings of an agent.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Names the agent.
+    /// The agent's id, which also decides its cell.
     pub id: id::AgentId,
-    /// Where the owner of its cell connects; port 0 takes any.
+    /// Address at which the agent listens for the owner of its cell; port 0 selects a free port.
     pub link_addr: net::SocketAddr,
-    /// Where the backend server beside it announces itself; port 0 takes any.
+    /// Address at which it listens for announcements of the backend server; port 0 selects a free
+    /// port.
     pub announce_addr: net::SocketAddr,
-    /// The address that owners are told, where it differs from `link_addr` (host and port).
+    /// Address in the agent's row, at which owners connect (host and port); `link_addr` if none.
     pub advertise: Option<CompactString>,
-    /// Its failure domain.
+    /// Failure domain that the agent reports to the owner.
     pub failure_domain: CompactString,
-    /// Its rack.
+    /// Rack that the agent reports to the owner.
     pub rack: CompactString,
-    /// Cells of the whole system.
+    /// Number of cells in the whole system.
     pub cells: u16,
-    /// How long a stopping agent waits for its answers to be acknowledged.
+    /// How long the agent waits for its answers to be acknowledged before it stops.
     pub linger: time::Duration,
 }
 
-/// A running agent.
+/// A running agent. Dropping it ends it at once, as [`Agent::kill`] does.
 pub struct Agent {
     cell: id::Cell,
     cfg: Config,
-    work: Arc<Work>,
-    links: link::Server,
-    announcing: server::Server,
+    runner: Arc<Runner>,
+    link_server: link::Server,
+    announce_server: server::Server,
     platform: platform::Platform,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Opens an agent; it joins its cell as soon as the platform's table answers.
+/// Starts an agent. It joins its cell in the background, once the platform's table answers.
 ///
 /// # Errors
 ///
-/// Returns an error where an address can't be bound.
+/// Returns an error if one of the two addresses can't be bound.
 pub async fn open(
     cfg: Config,
     platform: platform::Platform,
     messages: count::Messages,
 ) -> anyhow::Result<Agent> {
-    let work = Work::open(
+    let runner = Runner::open(
         cfg.clone(),
         rand::random(),
         platform.objects.clone(),
         messages.clone(),
     );
-    let links = link::bind(cfg.link_addr, service(&work, messages)).await?;
-    let announcing = announce::bind(cfg.announce_addr, work.clone()).await?;
+    let link_server = link::bind(cfg.link_addr, link_service(&runner, messages)).await?;
+    let announce_server = announce::bind(cfg.announce_addr, runner.clone()).await?;
     let cell = key::cell(&cfg.id, cfg.cells);
     let addr = match &cfg.advertise {
         Some(addr) => addr.clone(),
-        None => links.addr().to_compact_string(),
+        None => link_server.addr().to_compact_string(),
     };
-    let joining = tokio::spawn(join::join(cell, addr, work.clone(), platform.table.clone()));
-    let ticking = tokio::spawn(tick(work.clone()));
+    let joining = tokio::spawn(join::join(
+        cell,
+        addr,
+        runner.clone(),
+        platform.table.clone(),
+    ));
+    let ticking = tokio::spawn(tick(runner.clone()));
     Ok(Agent {
         cell,
         cfg,
-        work,
-        links,
-        announcing,
+        runner,
+        link_server,
+        announce_server,
         platform,
         tasks: vec![joining, ticking],
     })
 }
 
 impl Agent {
-    /// Where owners connect.
+    /// Returns the bound address at which owners connect.
     pub fn link_addr(&self) -> net::SocketAddr {
-        self.links.addr()
+        self.link_server.addr()
     }
 
-    /// Where the backend server announces itself.
+    /// Returns the bound address at which the backend server announces itself.
     pub fn announce_addr(&self) -> net::SocketAddr {
-        self.announcing.addr()
+        self.announce_server.addr()
     }
 
-    /// Its id.
+    /// Returns the agent's id.
     pub fn id(&self) -> &id::AgentId {
         &self.cfg.id
     }
 
-    /// Drains and stops: nothing new is started, what runs ends, its answers are delivered.
+    /// Drains and stops: refuses new starts, waits until all running tasks have ended, waits at
+    /// most [`Config::linger`] for their answers to be acknowledged, and leaves the cell.
     pub async fn stop(self) {
-        self.work.drain();
-        self.work.idle().await;
-        let claimed = self.work.acknowledged(self.cfg.linger).await;
-        join::leave(self.cell, &self.work, &self.platform.table, claimed).await;
+        self.runner.drain();
+        self.runner.wait_until_idle().await;
+        let claimed = self.runner.wait_until_acknowledged(self.cfg.linger).await;
+        join::leave(self.cell, &self.runner, &self.platform.table, claimed).await;
         self.kill();
     }
 
-    /// Ends at once, as a crash would.
+    /// Ends the agent at once, without draining, as a crash would.
     pub fn kill(&self) {
-        self.work.abort();
-        self.links.stop();
-        self.announcing.stop();
+        self.runner.abort();
+        self.link_server.stop();
+        self.announce_server.stop();
         for task in &self.tasks {
             task.abort();
         }
@@ -134,27 +142,29 @@
     }
 }
 
-fn service(
-    work: &Arc<Work>,
+/// Returns the callbacks of the link server, which pass hellos and messages to the runner.
+fn link_service(
+    runner: &Arc<Runner>,
     messages: count::Messages,
 ) -> link::ServerHandlers<agent::Hello, notice::Notice, agent::Down, agent::Up> {
-    let (greeting, taking) = (work.clone(), work.clone());
+    let (hello_runner, message_runner) = (runner.clone(), runner.clone());
     link::ServerHandlers {
         on_open: Arc::new(move |hello: agent::Hello, tx| {
-            greeting.greet(&hello, tx);
-            let work = greeting.clone();
-            Arc::new(move |notices: Vec<notice::Notice>| work.group(hello.link, notices))
+            hello_runner.handle_hello(&hello, tx);
+            let runner = hello_runner.clone();
+            Arc::new(move |notices: Vec<notice::Notice>| runner.batch_notices(hello.link, notices))
         }),
-        on_message: Arc::new(move |down| taking.take(down)),
+        on_message: Arc::new(move |down| message_runner.handle_message(down)),
         on_sent: Arc::new(move |up, bytes| messages.sent(agent::kind_up(&up.notices), bytes)),
         estimate_bytes: agent::estimate_notice_bytes,
     }
 }
 
-async fn tick(work: Arc<Work>) {
+/// Calls [`Runner::tick`] every [`agent::TICK`].
+async fn tick(runner: Arc<Runner>) {
     let mut interval = tokio::time::interval(agent::TICK);
     loop {
         interval.tick().await;
-        work.tick();
+        runner.tick();
     }
 }
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -1,4 +1,5 @@
-//! The work of an agent: what runs, what waits for a slot, and the answers' way up.
+//! Runs the tasks of an agent: obeys the orders of the owner, starts waiting tasks as slots become
+//! free, and sends the answers to the owner.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time;
@@ -8,7 +9,7 @@
 
 use crate::agent::large;
 use crate::agent::spans::Hops;
-use crate::agent::state::{Backend, Held, Running, Waiting};
+use crate::agent::state::{Backend, Running, State, Waiting};
 use crate::agent::Config;
 use crate::code;
 use crate::count;
@@ -24,63 +25,70 @@
 use crate::wire::link;
 use crate::wire::platform;
 
-/// Pause between looks for what need not be remembered any more.
-const SWEEP: time::Duration = time::Duration::from_secs(1);
+/// How often expired records and stored answers are removed.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// The shared state of an agent's parts.
-pub struct Work {
+/// Runs the tasks of one agent; shared by its link server, its HTTP server and its background
+/// tasks.
+pub struct Runner {
     cfg: Config,
     incarnation: id::Incarnation,
     http: http::Client,
-    large: large::Large,
+    large_values: large::LargeValues,
     messages: count::Messages,
-    inner: Mutex<Held>,
+    state: Mutex<State>,
+    /// Notified when a condition of [`Runner::wait_until`] may have become true.
     changed: Notify,
-    spoke: Mutex<time::Instant>,
+    /// When the last message to the owner was built or the last heartbeat became due.
+    last_sent: Mutex<time::Instant>,
 }
 
-impl Work {
-    /// Opens an agent's work for one life.
+impl Runner {
+    /// Returns the runner of an agent that has just started. The upper 53 bits of `incarnation`, a
+    /// random number, identify this process of the agent.
     pub fn open(
         cfg: Config,
         incarnation: id::Incarnation,
         objects: platform::Objects,
         messages: count::Messages,
-    ) -> Arc<Work> {
-        Arc::new(Work {
-            large: large::Large::open(objects),
+    ) -> Arc<Runner> {
+        Arc::new(Runner {
+            large_values: large::LargeValues::open(objects),
             cfg,
-            // JSON numbers of other languages hold 53 bits.
+            // Only 53 bits are used: JSON numbers of other languages hold no more exactly.
             incarnation: incarnation >> 11,
             http: http::open(backend::MAX_ANSWER),
             messages,
-            inner: Mutex::new(Held::open(time::Instant::now())),
+            state: Mutex::new(State::open(time::Instant::now())),
             changed: Notify::new(),
-            spoke: Mutex::new(time::Instant::now()),
+            last_sent: Mutex::new(time::Instant::now()),
         })
     }
 
-    /// The agent's id.
+    /// Returns the agent's id.
     pub fn id(&self) -> &id::AgentId {
         &self.cfg.id
     }
 
-    /// This life.
+    /// Returns the number that distinguishes this process of the agent from earlier ones.
     pub fn incarnation(&self) -> id::Incarnation {
         self.incarnation
     }
 
-    /// Admits the agent to its cell; see [`Ledger::join`].
+    /// Admits the agent to its cell, and sends the owner a heartbeat with its slots; see
+    /// [`Ledger::join`](ledger::Ledger::join).
     pub fn join(&self, epoch: id::Epoch) {
-        let mut inner = self.lock();
-        inner.ledger.join(epoch);
-        inner.tell(Notice::Heartbeat);
+        let mut state = self.lock();
+        state.ledger.join(epoch);
+        state.notify_owner(Notice::Heartbeat);
     }
 
-    /// Takes the hello of an owner: raises the fence, reports, and speaks to this owner from now.
-    pub fn greet(&self, hello: &agent::Hello, tx: link::Sender<Notice>) {
-        let mut inner = self.lock();
-        if let Err(newest) = inner.ledger.raise_fence(hello.epoch) {
+    /// Handles the hello of an owner: raises the fence to its epoch, sends a welcome with the
+    /// states of all recorded tasks, and from then on sends all further notices on this link. A
+    /// superseded owner gets only the newest epoch.
+    pub fn handle_hello(&self, hello: &agent::Hello, tx: link::Sender<Notice>) {
+        let mut state = self.lock();
+        if let Err(newest) = state.ledger.raise_fence(hello.epoch) {
             let _ = tx.send(Notice::Stale(newest));
             return;
         }
@@ -88,109 +96,113 @@
             incarnation: self.incarnation,
             failure_domain: self.cfg.failure_domain.clone(),
             rack: self.cfg.rack.clone(),
-            tasks: inner.ledger.task_states(),
+            tasks: state.ledger.task_states(),
         };
         let _ = tx.send(Notice::Welcome(welcome));
-        inner.owner = Some(tx);
-        inner.link = hello.link;
-        inner.received = 0;
+        state.owner = Some(tx);
+        state.link = hello.link;
+        state.received = 0;
     }
 
-    /// Takes one message of an owner.
-    pub fn take(self: &Arc<Self>, down: agent::Down) {
-        let mut inner = self.lock();
+    /// Handles one message of an owner. Ignores orders to another incarnation, and refuses those of
+    /// a superseded owner.
+    pub fn handle_message(self: &Arc<Self>, down: agent::Down) {
+        let mut state = self.lock();
         let now = time::Instant::now();
-        if down.link == inner.link {
-            inner.received += 1;
+        if down.link == state.link {
+            state.received += 1;
         }
-        // A restarted agent has a new life; orders to the old one mean nothing to it.
+        // Orders to an incarnation before a restart must have no effect on this one.
         if down.incarnation != self.incarnation {
             return;
         }
-        if down.epoch < inner.ledger.epoch() {
-            let newest = inner.ledger.epoch();
-            inner.tell(Notice::Stale(newest));
+        if down.epoch < state.ledger.epoch() {
+            let newest = state.ledger.epoch();
+            state.notify_owner(Notice::Stale(newest));
             return;
         }
         for order in down.orders {
-            self.obey(&mut inner, now, down.epoch, order);
+            self.apply_order(&mut state, now, down.epoch, order);
         }
-        self.fill(&mut inner);
+        self.start_waiting(&mut state);
     }
 
-    fn obey(&self, inner: &mut Held, now: time::Instant, epoch: id::Epoch, order: Order) {
+    fn apply_order(&self, state: &mut State, now: time::Instant, epoch: id::Epoch, order: Order) {
         match order {
-            Order::Start(start) => inner.accept(now, epoch, start),
-            Order::Cancel(job) => self.cancel(inner, now, epoch, &job),
+            Order::Start(start) => state.accept_start(now, epoch, start),
+            Order::Cancel(job) => self.cancel(state, now, epoch, &job),
             Order::Acknowledge(job) => {
-                inner.ledger.acknowledge(epoch, &job);
+                state.ledger.acknowledge(epoch, &job);
                 self.changed.notify_waiters();
             }
-            Order::Resolve(ids) => inner.resolve(now, epoch, &ids),
+            Order::Resolve(ids) => state.resolve(now, epoch, &ids),
             Order::Heartbeat => {}
         }
     }
 
-    fn cancel(&self, inner: &mut Held, now: time::Instant, epoch: id::Epoch, job: &id::JobKey) {
-        let started = inner.ledger.cancel(now, epoch, job);
+    /// Closes a job, ends its running tasks and refuses its waiting ones.
+    fn cancel(&self, state: &mut State, now: time::Instant, epoch: id::Epoch, job: &id::JobKey) {
+        let started = state.ledger.cancel(now, epoch, job);
         for id in started {
-            if let Some(running) = inner.running.remove(&id) {
-                // Dropping the exchange closes its connection, which tells the backend server.
+            if let Some(running) = state.running.remove(&id) {
+                // Aborting the exchange closes its connection, by which the backend server learns
+                // of the cancellation.
                 running.abort.abort();
                 let outcome = task::Outcome::Failed(code::Code::Cancelled);
                 let ran_us = now.saturating_duration_since(running.since).as_micros() as u64;
-                inner.ledger.finish(now, &id, outcome.clone(), ran_us);
-                inner.tell(Notice::Answer(notice::Answer {
+                state.ledger.finish(now, &id, outcome.clone(), ran_us);
+                state.notify_owner(Notice::Answer(notice::Answer {
                     id,
                     outcome,
                     ran_us,
                 }));
             } else {
-                inner.waiting.retain(|waiting| waiting.start.id != id);
-                let attempt = inner.ledger.revert_start(now, &id);
-                inner.tell(Notice::Refused(attempt, code::Code::Burned));
+                state.waiting.retain(|waiting| waiting.start.id != id);
+                let attempt = state.ledger.revert_start(now, &id);
+                state.notify_owner(Notice::Refused(attempt, code::Code::Burned));
             }
         }
         self.changed.notify_waiters();
     }
 
-    /// Starts what waits, as far as there are slots.
-    fn fill(self: &Arc<Self>, inner: &mut Held) {
+    /// Starts waiting tasks, the oldest first, while there are free slots.
+    fn start_waiting(self: &Arc<Self>, state: &mut State) {
         let now = time::Instant::now();
-        while inner.running.len() < inner.slots(now) as usize {
-            let Some(waiting) = inner.waiting.pop_front() else {
+        while state.running.len() < state.slots(now) as usize {
+            let Some(waiting) = state.waiting.pop_front() else {
                 return;
             };
-            let Some(backend) = &inner.backend else {
+            let Some(backend) = &state.backend else {
                 return;
             };
             let addr = backend.announcement.addr.clone();
             let id = waiting.start.id.clone();
-            let work = self.clone();
-            let handle = tokio::spawn(async move { work.run(addr, waiting).await });
+            let runner = self.clone();
+            let handle = tokio::spawn(async move { runner.run_task(addr, waiting).await });
             let running = Running {
                 abort: handle.abort_handle(),
                 since: now,
             };
-            inner.running.insert(id, running);
+            state.running.insert(id, running);
         }
     }
 
-    async fn run(self: Arc<Self>, addr: CompactString, waiting: Waiting) {
+    /// Runs one task at the backend server at `addr` (host and port) and records how it ended.
+    async fn run_task(self: Arc<Self>, addr: CompactString, waiting: Waiting) {
         let Waiting { start, since } = waiting;
         let id = start.id.clone();
         let hops = Hops::begin(&start, since);
         let traceparent = hops.map(|hops| hops.traceparent());
-        let input = match self.large.input(start.input).await {
+        let input = match self.large_values.fetch_input(start.input).await {
             Ok(input) => input,
             Err(code) => {
                 let outcome = task::Outcome::Failed(code);
-                self.finish(&id, outcome, time::Duration::ZERO);
+                self.finish_task(&id, outcome, time::Duration::ZERO);
                 return;
             }
         };
         self.messages.add(count::Kind::Backend, 2);
-        let begun = time::Instant::now();
+        let began = time::Instant::now();
         let outcome = backend::run(
             &self.http,
             backend::Run {
@@ -206,16 +218,23 @@
         if let Some(hops) = hops {
             hops.record(&self.cfg.id, id.index, &outcome);
         }
-        let ran = begun.elapsed();
-        let outcome = self.large.outcome(outcome).await;
-        self.finish(&id, outcome, ran);
+        let run_time = began.elapsed();
+        let outcome = self.large_values.store_answer(outcome).await;
+        self.finish_task(&id, outcome, run_time);
     }
 
-    fn finish(self: &Arc<Self>, id: &task::Id, outcome: task::Outcome, ran: time::Duration) {
-        let mut inner = self.lock();
+    /// Reports the end of a task to the owner and starts waiting ones. If the outcome says "not
+    /// run", reverts the start, so that the task may run elsewhere.
+    fn finish_task(
+        self: &Arc<Self>,
+        id: &task::Id,
+        outcome: task::Outcome,
+        run_time: time::Duration,
+    ) {
+        let mut state = self.lock();
         let now = time::Instant::now();
-        if inner.running.remove(id).is_none() {
-            // It was cancelled in this moment, and its owner was told.
+        if state.running.remove(id).is_none() {
+            // It was cancelled in the meantime, and the owner has been notified of that.
             return;
         }
         let not_run = match &outcome {
@@ -223,103 +242,106 @@
             task::Outcome::Done(_) => false,
         };
         if let (true, task::Outcome::Failed(code)) = (not_run, &outcome) {
-            let attempt = inner.ledger.revert_start(now, id);
-            inner.tell(Notice::Refused(attempt, *code));
+            let attempt = state.ledger.revert_start(now, id);
+            state.notify_owner(Notice::Refused(attempt, *code));
         } else {
-            let ran_us = ran.as_micros() as u64;
-            inner.ledger.finish(now, id, outcome.clone(), ran_us);
-            inner.tell(Notice::Answer(notice::Answer {
+            let ran_us = run_time.as_micros() as u64;
+            state.ledger.finish(now, id, outcome.clone(), ran_us);
+            state.notify_owner(Notice::Answer(notice::Answer {
                 id: id.clone(),
                 outcome,
                 ran_us,
             }));
         }
-        self.fill(&mut inner);
+        self.start_waiting(&mut state);
         self.changed.notify_waiters();
     }
 
-    /// Takes an announcement of the backend server.
-    pub fn announce(self: &Arc<Self>, announcement: backend::Announcement) {
-        let mut inner = self.lock();
+    /// Handles an announcement of the backend server. Notifies the owner if it changes the load.
+    pub fn handle_announcement(self: &Arc<Self>, announcement: backend::Announcement) {
+        let mut state = self.lock();
         let now = time::Instant::now();
-        let before = inner.load(now);
-        inner.backend = Some(Backend {
+        let load_before = state.load(now);
+        state.backend = Some(Backend {
             announcement,
-            heard: now,
+            last_heard: now,
         });
-        if inner.load(now) != before {
-            inner.tell(Notice::Heartbeat);
+        if state.load(now) != load_before {
+            state.notify_owner(Notice::Heartbeat);
         }
-        self.fill(&mut inner);
+        self.start_waiting(&mut state);
     }
 
-    /// Groups notices of one link into one message, with the load of this moment.
-    pub fn group(&self, link: id::Link, notices: Vec<Notice>) -> agent::Up {
-        *self.spoke.lock().expect("the time is whole") = time::Instant::now();
-        let inner = self.lock();
-        let current = link == inner.link;
+    /// Returns one message that holds the notices of one link, the current load, and how many of
+    /// the owner's messages were received if the link is the newest one.
+    pub fn batch_notices(&self, link: id::Link, notices: Vec<Notice>) -> agent::Up {
+        *self.last_sent.lock().expect("not poisoned") = time::Instant::now();
+        let state = self.lock();
+        let is_current = link == state.link;
         agent::Up {
             notices,
-            load: inner.load(time::Instant::now()),
+            load: state.load(time::Instant::now()),
             link,
-            received: if current { inner.received } else { 0 },
+            received: if is_current { state.received } else { 0 },
         }
     }
 
-    /// Does what is due: a heartbeat where nothing was said, and forgetting what is old.
+    /// Does the work that is due: sends a heartbeat if no message was sent for a while, refuses
+    /// waiting starts if there are no slots, and removes expired records and answers.
     pub fn tick(&self) {
-        let mut inner = self.lock();
+        let mut state = self.lock();
         let now = time::Instant::now();
-        let mut spoke = self.spoke.lock().expect("the time is whole");
-        if now.saturating_duration_since(*spoke) >= agent::HEARTBEAT {
-            // The next one is due a whole pause later, also where the writer is not free yet.
-            *spoke = now;
-            inner.tell(Notice::Heartbeat);
+        let mut last_sent = self.last_sent.lock().expect("not poisoned");
+        if now.saturating_duration_since(*last_sent) >= agent::HEARTBEAT {
+            // The next heartbeat is due a whole interval later, even if the link's writer is still
+            // busy and has not built a message with this one.
+            *last_sent = now;
+            state.notify_owner(Notice::Heartbeat);
         }
-        drop(spoke);
-        if inner.slots(now) == 0 {
-            inner.give_back(now);
+        drop(last_sent);
+        if state.slots(now) == 0 {
+            state.refuse_waiting(now);
         }
-        if now.saturating_duration_since(inner.swept) >= SWEEP {
-            inner.swept = now;
-            inner.ledger.forget_expired(now);
-            self.large.sweep(now);
+        if now.saturating_duration_since(state.last_sweep) >= SWEEP_INTERVAL {
+            state.last_sweep = now;
+            state.ledger.forget_expired(now);
+            self.large_values.remove_expired(now);
         }
     }
 
-    /// Starts nothing new from now on, and says so.
+    /// Refuses waiting and new starts from now on, and notifies the owner of it.
     pub fn drain(&self) {
-        let mut inner = self.lock();
-        inner.draining = true;
-        inner.give_back(time::Instant::now());
-        inner.tell(Notice::Heartbeat);
+        let mut state = self.lock();
+        state.draining = true;
+        state.refuse_waiting(time::Instant::now());
+        state.notify_owner(Notice::Heartbeat);
     }
 
-    /// Waits until nothing runs or waits.
-    pub async fn idle(&self) {
-        self.until(|inner| inner.running.is_empty() && inner.waiting.is_empty())
+    /// Waits until no task runs or waits for a slot.
+    pub async fn wait_until_idle(&self) {
+        self.wait_until(|state| state.running.is_empty() && state.waiting.is_empty())
             .await;
     }
 
-    /// Waits until every answer was acknowledged, `limit` at the longest. Tells whether it was, so
-    /// that the claims of all of them are in the table.
-    pub async fn acknowledged(&self, limit: time::Duration) -> bool {
-        let done = self.until(|inner| inner.ledger.kept_bytes() == 0);
+    /// Waits until every answer was acknowledged, for `limit` at most. Returns whether all were, in
+    /// which case the claims of all of them are in the table.
+    pub async fn wait_until_acknowledged(&self, limit: time::Duration) -> bool {
+        let done = self.wait_until(|state| state.ledger.kept_bytes() == 0);
         tokio::time::timeout(limit, done).await.is_ok()
     }
 
-    /// Tells whether this life remembers any task that it started.
-    pub fn has_started(&self) -> bool {
-        let report = self.lock().ledger.task_states();
-        let started = |(_, standing): &(_, _)| *standing != ledger::TaskState::Withdrawn;
-        report.iter().any(started)
+    /// Returns whether this incarnation has a record of any task that it started.
+    pub fn has_started_tasks(&self) -> bool {
+        let tasks = self.lock().ledger.task_states();
+        let started = |(_, task_state): &(_, _)| *task_state != ledger::TaskState::Withdrawn;
+        tasks.iter().any(started)
     }
 
-    /// What the agent shows of itself, in the Prometheus text format.
+    /// Returns the agent's metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let (load, kept) = {
-            let inner = self.lock();
-            (inner.load(time::Instant::now()), inner.ledger.kept_bytes())
+            let state = self.lock();
+            (state.load(time::Instant::now()), state.ledger.kept_bytes())
         };
         let mut page = metrics::Page::open();
         page.gauge("slots", "Tasks that run at a time", load.slots.into());
@@ -333,18 +355,20 @@
         page.text()
     }
 
-    /// Ends everything at once.
+    /// Aborts all running tasks, drops waiting ones and closes the owner's link, without notifying
+    /// the owner.
     pub fn abort(&self) {
-        let mut inner = self.lock();
-        for running in inner.running.values() {
+        let mut state = self.lock();
+        for running in state.running.values() {
             running.abort.abort();
         }
-        inner.running.clear();
-        inner.waiting.clear();
-        inner.owner = None;
+        state.running.clear();
+        state.waiting.clear();
+        state.owner = None;
     }
 
-    async fn until(&self, holds: impl Fn(&Held) -> bool) {
+    /// Waits until `holds` returns true; checks it whenever `changed` is notified.
+    async fn wait_until(&self, holds: impl Fn(&State) -> bool) {
         loop {
             let changed = self.changed.notified();
             if holds(&self.lock()) {
@@ -354,7 +378,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.inner.lock().expect("the agent's state is whole")
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("not poisoned")
     }
 }
--- a/src/agent/spans.rs
+++ b/src/agent/spans.rs
@@ -1,4 +1,5 @@
-//! The spans of an agent: a task's stay, its wait for a slot, and its run at the backend server.
+//! Records the spans of a task at its agent: the whole time there, the wait for a slot, and the run
+//! at the backend server.
 
 use std::time;
 
@@ -10,56 +11,59 @@
 use crate::task;
 use crate::trace::{Hop, Kind, Span};
 
-/// The hops of one task through an agent.
+/// The hops and times of one task, from which its spans are recorded once it has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Hops {
-    stay: Hop,
-    run: Hop,
-    taken: time::Instant,
-    begun: time::Instant,
+    /// The whole time at the agent.
+    agent_hop: Hop,
+    /// The run at the backend server.
+    run_hop: Hop,
+    received: time::Instant,
+    sent: time::Instant,
 }
 
 impl Hops {
-    /// The hops of a task that was `taken` a while ago and is sent to the backend server now.
-    pub fn begin(start: &order::Start, taken: time::Instant) -> Option<Hops> {
-        let stay = Hop::below(start.traceparent.as_deref())?;
+    /// Returns the hops of a task whose start was accepted at `received` and that is sent to the
+    /// backend server now; nothing if its trace isn't recorded.
+    pub fn begin(start: &order::Start, received: time::Instant) -> Option<Hops> {
+        let agent_hop = Hop::below(start.traceparent.as_deref())?;
         Some(Hops {
-            stay,
-            run: stay.child(),
-            taken,
-            begun: time::Instant::now(),
+            agent_hop,
+            run_hop: agent_hop.child(),
+            received,
+            sent: time::Instant::now(),
         })
     }
 
-    /// What the backend server is sent.
+    /// Returns the `traceparent` to send to the backend server.
     pub fn traceparent(&self) -> CompactString {
-        self.run.traceparent()
+        self.run_hop.traceparent()
     }
 
-    /// Records the hops of a task that is over.
+    /// Records the spans of a task that has ended now.
     pub fn record(self, agent: &id::AgentId, index: id::TaskIndex, outcome: &task::Outcome) {
         let ended = time::Instant::now();
-        let failure = failure(outcome);
-        self.stay.child().record(Span {
+        let failure = failure_code(outcome);
+        self.agent_hop.child().record(Span {
             name: "slot wait",
             kind: Kind::Internal,
-            begun: self.taken,
-            ended: self.begun,
+            begun: self.received,
+            ended: self.sent,
             attributes: Vec::new(),
             failure: None,
         });
-        self.run.record(Span {
+        self.run_hop.record(Span {
             name: "backend server",
             kind: Kind::Client,
-            begun: self.begun,
+            begun: self.sent,
             ended,
             attributes: Vec::new(),
             failure,
         });
-        self.stay.record(Span {
+        self.agent_hop.record(Span {
             name: "agent",
             kind: Kind::Server,
-            begun: self.taken,
+            begun: self.received,
             ended,
             attributes: vec![
                 ("agent", agent.clone()),
@@ -70,7 +74,7 @@
     }
 }
 
-fn failure(outcome: &task::Outcome) -> Option<code::Code> {
+fn failure_code(outcome: &task::Outcome) -> Option<code::Code> {
     match outcome {
         task::Outcome::Done(_) => None,
         task::Outcome::Failed(code) => Some(*code),
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -1,4 +1,5 @@
-//! What an agent holds: the ledger, what runs and waits for a slot, and its owner's link.
+//! The state of an agent: its ledger, the tasks that run or wait for a slot, its backend server and
+//! the link of its cell's owner.
 
 use std::collections::{HashMap, VecDeque};
 use std::time;
@@ -14,59 +15,60 @@
 use crate::wire::backend;
 use crate::wire::link;
 
-/// Silence of a backend server after which nothing new is sent to it.
-const BACKEND_SILENCE: time::Duration = time::Duration::from_secs(2);
+/// Time without an announcement after which the agent sends its backend server no more tasks.
+const MAX_BACKEND_SILENCE: time::Duration = time::Duration::from_secs(2);
 
-/// The state of an agent, for its [`Work`](crate::agent::runner::Work).
-pub struct Held {
-    /// What it may start, and the answers that its owner has not acknowledged.
+/// The state that a [`Runner`](crate::agent::runner::Runner) keeps behind its lock.
+pub struct State {
+    /// Records which tasks were started or withdrawn, and keeps the answers that the owner hasn't
+    /// acknowledged.
     pub ledger: Ledger,
-    /// The backend server beside it, once it has announced itself.
+    /// The backend server; none until it has announced itself.
     pub backend: Option<Backend>,
-    /// What runs.
+    /// Tasks that have a slot and have not ended.
     pub running: HashMap<task::Id, Running>,
-    /// Starts that wait for a slot, the oldest first.
+    /// Accepted starts that wait for a slot, the oldest first.
     pub waiting: VecDeque<Waiting>,
-    /// The way to its owner; none while there is no link.
+    /// Sends notices to the owner of the cell; none while there is no link.
     pub owner: Option<link::Sender<Notice>>,
-    /// The owner's link.
+    /// The number of the owner's newest link, from its hello; 0 before the first one.
     pub link: id::Link,
-    /// How many messages of the link have come.
+    /// Number of the owner's messages received on that link.
     pub received: u64,
-    /// When old answers were last forgotten.
-    pub swept: time::Instant,
-    /// Whether it takes nothing new.
+    /// When expired records and stored answers were last removed.
+    pub last_sweep: time::Instant,
+    /// True once the agent is stopping and refuses every start.
     pub draining: bool,
 }
 
-/// The backend server as it last announced itself.
+/// What the agent knows of its backend server.
 pub struct Backend {
-    /// What it said.
+    /// The newest announcement.
     pub announcement: backend::Announcement,
-    /// When it said so.
-    pub heard: time::Instant,
+    /// When that announcement was received.
+    pub last_heard: time::Instant,
 }
 
 /// A start that waits for a slot.
 pub struct Waiting {
-    /// The start.
+    /// The owner's order.
     pub start: order::Start,
-    /// Since when.
+    /// When the start was accepted.
     pub since: time::Instant,
 }
 
-/// A task that runs.
+/// A task that has a slot and has not ended.
 pub struct Running {
-    /// Ends it.
+    /// Aborts the exchange with the backend server.
     pub abort: AbortHandle,
-    /// Since when.
+    /// When the task got its slot.
     pub since: time::Instant,
 }
 
-impl Held {
-    /// Opens the state of an agent that has neither backend server nor owner.
-    pub fn open(now: time::Instant) -> Held {
-        Held {
+impl State {
+    /// Returns the state of an agent that has just started, without a backend server or an owner.
+    pub fn open(now: time::Instant) -> State {
+        State {
             ledger: Ledger::default(),
             backend: None,
             running: HashMap::new(),
@@ -74,27 +76,28 @@
             owner: None,
             link: 0,
             received: 0,
-            swept: now,
+            last_sweep: now,
             draining: false,
         }
     }
 
-    /// Says something to the owner, if there is one.
-    pub fn tell(&mut self, notice: Notice) {
+    /// Sends a notice to the owner; drops it if there is no link.
+    pub fn notify_owner(&mut self, notice: Notice) {
         if let Some(owner) = &self.owner {
             if owner.send(notice).is_err() {
-                // The link is gone; the owner asks by key once it is back.
+                // The link has ended. Once there is a new one, the owner asks for the states of its
+                // tasks with [`order::Order::Resolve`].
                 self.owner = None;
             }
         }
     }
 
-    /// Takes a start, or refuses it.
-    pub fn accept(&mut self, now: time::Instant, epoch: id::Epoch, start: order::Start) {
+    /// Queues a start for a slot, or refuses it. Does nothing if the task was already started.
+    pub fn accept_start(&mut self, now: time::Instant, epoch: id::Epoch, start: order::Start) {
         if self.draining || self.slots(now) == 0 {
-            let mark = (epoch, start.attempt);
-            if self.ledger.withdraw(now, &start.id, mark) {
-                self.tell(Notice::Refused(start.attempt(), code::Code::NotJoined));
+            let number = (epoch, start.attempt);
+            if self.ledger.withdraw(now, &start.id, number) {
+                self.notify_owner(Notice::Refused(start.attempt(), code::Code::NotJoined));
             }
             return;
         }
@@ -102,43 +105,50 @@
             ledger::StartDecision::Run => self.waiting.push_back(Waiting { start, since: now }),
             ledger::StartDecision::Duplicate => {}
             ledger::StartDecision::Refuse(code) => {
-                self.tell(Notice::Refused(start.attempt(), code));
+                self.notify_owner(Notice::Refused(start.attempt(), code));
             }
         }
     }
 
-    /// Gives back what waits here and can't be run here any more.
-    pub fn give_back(&mut self, now: time::Instant) {
+    /// Refuses all waiting starts, which can't run here any more, so that the owner may send them
+    /// to other agents.
+    pub fn refuse_waiting(&mut self, now: time::Instant) {
         for Waiting { start, .. } in std::mem::take(&mut self.waiting) {
             let attempt = self.ledger.revert_start(now, &start.id);
-            self.tell(Notice::Refused(attempt, code::Code::NotJoined));
+            self.notify_owner(Notice::Refused(attempt, code::Code::NotJoined));
         }
     }
 
-    /// Tells the owner how attempts stand that it has lost sight of.
+    /// Reports to the owner the states of attempts of which it doesn't know whether they were
+    /// started, with their answers where these are kept.
     pub fn resolve(&mut self, now: time::Instant, epoch: id::Epoch, ids: &[order::Attempt]) {
         for (attempt, standing) in self.ledger.resolve(now, epoch, ids) {
             if let Some((outcome, ran_us)) = self.ledger.answer(&attempt.id) {
-                self.tell(Notice::Answer(notice::Answer {
+                self.notify_owner(Notice::Answer(notice::Answer {
                     id: attempt.id,
                     outcome,
                     ran_us,
                 }));
             } else {
-                self.tell(Notice::Standing(attempt, standing));
+                self.notify_owner(Notice::Standing(attempt, standing));
             }
         }
     }
 
-    /// Slots of the backend server; none once it has left, silently or not.
+    /// Returns the number of tasks that may run at a time: 0 if the backend server is leaving, has
+    /// been silent for longer than [`MAX_BACKEND_SILENCE`] or has never announced itself.
     pub fn slots(&self, now: time::Instant) -> u32 {
-        // Before it has joined it may start nothing; to offer slots would only draw starts.
+        // An agent that has not joined its cell must refuse every start, so it offers no slots.
         if !self.ledger.is_joined() {
             return 0;
         }
         match &self.backend {
             Some(backend) if backend.announcement.leaving => 0,
-            Some(backend) if now.saturating_duration_since(backend.heard) > BACKEND_SILENCE => 0,
+            Some(backend)
+                if now.saturating_duration_since(backend.last_heard) > MAX_BACKEND_SILENCE =>
+            {
+                0
+            }
             Some(backend) => backend
                 .announcement
                 .slots
@@ -147,7 +157,7 @@
         }
     }
 
-    /// What the owner should know of the load.
+    /// Returns the load that every message to the owner carries.
     pub fn load(&self, now: time::Instant) -> notice::Load {
         let capacity = self
             .backend
