--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -74,7 +74,7 @@
         platform.objects.clone(),
         messages.clone(),
     );
-    let link_server = link::bind(cfg.link_addr, link_service(&runner, messages)).await?;
+    let link_server = link::bind(cfg.link_addr, link_handlers(&runner, messages)).await?;
     let announce_server = announce::bind(cfg.announce_addr, runner.clone()).await?;
     let cell = key::cell(&cfg.id, cfg.cells);
     let addr = match &cfg.advertise {
@@ -142,8 +142,8 @@
     }
 }
 
-/// Returns the callbacks of the link server, which pass hellos and messages to the runner.
-fn link_service(
+/// Returns the handlers of the link server, which pass hellos and messages to the runner.
+fn link_handlers(
     runner: &Arc<Runner>,
     messages: count::Messages,
 ) -> link::ServerHandlers<agent::Hello, notice::Notice, agent::Down, agent::Up> {
