--- a/src/wire/agent.rs
+++ b/src/wire/agent.rs
@@ -1,6 +1,8 @@
-//! Between the owner of a cell and an agent: typed messages over a [`link`](crate::wire::link).
+//! The messages between the owner of a cell and an agent, which travel over a
+//! [`link`](crate::wire::link).
 //!
-//! The hello is the fence: an agent that has seen an epoch refuses every start of a smaller one.
+//! The epoch in the hello is a fencing token: an agent that has seen an epoch refuses every start
+//! of a smaller one.
 
 use std::time;
 
@@ -12,57 +14,61 @@
 use crate::id;
 use crate::task;
 
-/// Silence after which the agent sends a heartbeat; two fit into [`SILENCE`].
+/// Time without a message after which the agent sends a heartbeat; two heartbeats fit into
+/// [`SILENCE`].
 pub const HEARTBEAT: time::Duration = time::Duration::from_millis(700);
 
-/// How often an agent looks whether something is due.
+/// Interval at which an agent checks its timers, such as those of heartbeats.
 pub const TICK: time::Duration = time::Duration::from_millis(100);
 
-/// Silence after which the other side takes the link for dead.
+/// Time without a message from the agent, or without its confirmation of a message sent to it,
+/// after which the owner treats the link as failed.
 pub const SILENCE: time::Duration = time::Duration::from_millis(1_600);
 
-/// The owner's hello.
+/// The first message of a link, which the owner sends to the agent.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hello {
-    /// The owner.
+    /// The entry that owns the cell.
     pub entry: id::EntryId,
-    /// The cell.
+    /// The cell that the link serves.
     pub cell: id::Cell,
-    /// The owner's epoch.
+    /// The epoch of the owner; a newer owner of the cell has a larger one.
     pub epoch: id::Epoch,
-    /// The owner's number for this link.
+    /// The number that the owner gave this link; all later messages repeat it.
     pub link: id::Link,
 }
 
-/// A message of the owner.
+/// A message from the owner to an agent.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Down {
-    /// The cell.
+    /// The cell whose owner sends the message.
     pub cell: id::Cell,
-    /// The epoch under which the owner speaks.
+    /// The epoch of the owner that sends the message.
     pub epoch: id::Epoch,
-    /// The life of the agent that the owner means.
+    /// The incarnation of the agent that the message is for.
     pub incarnation: id::Incarnation,
     /// The link that carries the message.
     pub link: id::Link,
-    /// What it asks for.
+    /// The orders that the agent is to carry out, in the order of sending.
     pub orders: Vec<order::Order>,
 }
 
-/// A message of an agent.
+/// A message from an agent to the owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Up {
-    /// What it has to say.
+    /// The agent's notices to the owner, in the order of sending.
     pub notices: Vec<notice::Notice>,
-    /// Its load when the message left; rides on every message.
+    /// The agent's load when the message was sent; every message carries it.
     pub load: notice::Load,
     /// The link that carries the message.
     pub link: id::Link,
-    /// Messages of the owner that came on this link so far; see [`delivery`](crate::decide::delivery).
+    /// Number of messages that the agent has received from the owner on this link; see
+    /// [`delivery`](crate::decide::delivery).
     pub received: u64,
 }
 
-/// The kind under which a message of the owner is counted.
+/// Returns the kind under which a message from the owner is counted: one that holds a start counts
+/// as a start.
 pub fn kind_down(orders: &[order::Order]) -> count::Kind {
     if orders
         .iter()
@@ -74,7 +80,8 @@
     }
 }
 
-/// The kind under which a message of the agent is counted.
+/// Returns the kind under which a message from the agent is counted: one that holds an answer
+/// counts as an answer.
 pub fn kind_up(notices: &[notice::Notice]) -> count::Kind {
     if notices
         .iter()
@@ -86,29 +93,29 @@
     }
 }
 
-/// Bytes that an item takes beside what varies, about.
-const ITEM: usize = 300;
+/// Approximate bytes of an order or notice without its input, answer or list of tasks.
+const ITEM_BYTES: usize = 300;
 
-/// Bytes that a task takes in a list of tasks, about.
-const LISTED: usize = 120;
+/// Approximate bytes of one task in a list of tasks.
+const LISTED_TASK_BYTES: usize = 120;
 
-/// About how many bytes an order takes on the wire.
+/// Returns the approximate size of an order on the wire, in bytes.
 pub fn estimate_order_bytes(order: &order::Order) -> usize {
     match order {
-        order::Order::Start(start) => ITEM + start.input.get().len(),
-        order::Order::Resolve(ids) => ids.len() * LISTED,
-        _ => ITEM,
+        order::Order::Start(start) => ITEM_BYTES + start.input.get().len(),
+        order::Order::Resolve(ids) => ids.len() * LISTED_TASK_BYTES,
+        _ => ITEM_BYTES,
     }
 }
 
-/// About how many bytes a notice takes on the wire.
+/// Returns the approximate size of a notice on the wire, in bytes.
 pub fn estimate_notice_bytes(notice: &notice::Notice) -> usize {
     match notice {
         notice::Notice::Answer(answer) => match &answer.outcome {
-            task::Outcome::Done(value) => ITEM + value.get().len(),
-            task::Outcome::Failed(_) => ITEM,
+            task::Outcome::Done(value) => ITEM_BYTES + value.get().len(),
+            task::Outcome::Failed(_) => ITEM_BYTES,
         },
-        notice::Notice::Welcome(welcome) => ITEM + welcome.tasks.len() * LISTED,
-        _ => ITEM,
+        notice::Notice::Welcome(welcome) => ITEM_BYTES + welcome.tasks.len() * LISTED_TASK_BYTES,
+        _ => ITEM_BYTES,
     }
 }
--- a/src/wire/backend.rs
+++ b/src/wire/backend.rs
@@ -1,4 +1,4 @@
-//! Between an agent and the backend server beside it, over HTTP.
+//! The HTTP interface between an agent and its backend server.
 //!
 //! A backend server announces itself to its agent (`POST /v1/announce`) every second, and again
 //! with `leaving` when it stops. The agent runs a task by `POST /run` with the input as the body
@@ -15,56 +15,56 @@
 use crate::trace;
 use crate::wire::http;
 
-/// Largest answer of a task that is taken, in bytes.
+/// Largest answer of a task that is accepted, in bytes.
 pub const MAX_ANSWER: usize = 1024 * 1024;
 
-/// Header: the scoped submission key.
+/// Header of a run that carries the scoped submission key.
 pub const JOB: &str = "lovagemill-job";
-/// Header: the task's index in its job.
+/// Header of a run that carries the task's index in its job.
 pub const INDEX: &str = "lovagemill-task";
-/// Header: the client account.
+/// Header of a run that carries the client account.
 pub const CLIENT_ACCOUNT: &str = "lovagemill-customer";
-/// Header: milliseconds until the answer is worthless.
+/// Header of a run that carries the milliseconds until the answer is of no more use to the caller.
 pub const DEADLINE: &str = "lovagemill-deadline-ms";
 
-/// What a backend server tells its agent of itself.
+/// The message by which a backend server reports its address and capacity to its agent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// Where its HTTP listens (host and port).
+    /// Address of its HTTP server (host and port).
     pub addr: CompactString,
-    /// Tasks that it runs at a time.
+    /// Number of tasks that it runs at the same time.
     pub slots: u32,
-    /// Connections that it takes at a time.
+    /// Number of connections that it accepts at the same time.
     pub connections: u32,
-    /// What it has for tasks.
+    /// Memory, processors and accelerators that it has for tasks.
     #[serde(default)]
     pub capacity: task::Needs,
-    /// True once it stops: nothing new may be sent.
+    /// True once it stops; no further tasks may be sent to it.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// One run of a task.
+/// The request for one run of a task on a backend server.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The backend server (host and port).
+    /// Address of the backend server (host and port).
     pub addr: CompactString,
-    /// The task.
+    /// The task, by its job and its index in that.
     pub id: task::Id,
-    /// Its client account.
+    /// The client account that submitted the task.
     pub client_account: CompactString,
-    /// Milliseconds until its answer is worthless.
+    /// Milliseconds until its answer is of no more use; the run is given up then.
     pub deadline_ms: u64,
-    /// Its input.
+    /// The input of the task, which is the body of the request.
     pub input: Box<RawValue>,
-    /// The trace that it belongs to, if any.
+    /// The trace context of the task, if it belongs to a trace.
     pub traceparent: Option<CompactString>,
 }
 
-/// Runs one task and waits for its whole answer.
+/// Runs one task and waits for its complete answer.
 ///
-/// Never tries twice: once the request has left, the task may have started.
+/// It never retries: the task may have started as soon as the request was sent.
 pub async fn run(client: &http::Client, run: Run) -> task::Outcome {
     let limit = std::time::Duration::from_millis(run.deadline_ms);
     let body = Bytes::from(Box::<str>::from(run.input).into_string());
@@ -77,7 +77,7 @@
         call = call.header(trace::TRACEPARENT, parent.as_str());
     }
     match client.call(call, limit).await {
-        Ok(answer) => read(&answer),
+        Ok(answer) => read_outcome(&answer),
         Err(http::Error::NotSent | http::Error::Refused) => {
             task::Outcome::Failed(code::Code::WorkerBusy)
         }
@@ -87,7 +87,7 @@
     }
 }
 
-fn read(answer: &http::Answer) -> task::Outcome {
+fn read_outcome(answer: &http::Answer) -> task::Outcome {
     if !answer.status.is_success() {
         return task::Outcome::Failed(code::Code::TaskFailed);
     }
--- a/src/wire/caller.rs
+++ b/src/wire/caller.rs
@@ -1,4 +1,5 @@
-//! What callers and operators send and get over HTTP; `docs/API.md` is its page.
+//! The messages that callers and operators exchange with an entry over HTTP. `docs/API.md`
+//! describes them.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -11,19 +12,19 @@
 /// Header that carries the submission key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Largest submission that is taken, in bytes.
+/// Largest submission that is accepted, in bytes.
 pub const MAX_BODY: usize = 4 * 1024 * 1024;
 
-/// `POST /v1/requests`.
+/// The body of `POST /v1/requests`: a job of a single task.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// Who asks.
+    /// The client account that sends the request.
     #[serde(rename = "customer")]
     pub client_account: id::ClientAccount,
-    /// The class of work.
+    /// The class of work that the request belongs to.
     pub class: id::ClassName,
-    /// Whether running it twice would do no harm.
+    /// True if running the task twice does no harm.
     #[serde(default)]
     pub idempotent: bool,
     /// As in [`Task`](submission::Task).
@@ -40,7 +41,7 @@
 }
 
 impl Request {
-    /// The job of one task that this request is.
+    /// Returns the job with the request's single task.
     pub fn into_job(self) -> submission::Job {
         submission::Job {
             client_account: self.client_account,
@@ -55,13 +56,13 @@
     }
 }
 
-/// The body of an answered job.
+/// The body of the answer to a complete job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct JobAnswer {
-    /// The caller's key.
+    /// The submission key that the caller chose.
     pub key: CompactString,
-    /// Always `complete`; failures are a [`Refusal`](crate::refusal::Refusal).
+    /// Always `complete`; a failure is answered by a [`Refusal`](crate::refusal::Refusal) instead.
     pub state: CompactString,
-    /// Every task's answer, in the order of the tasks.
+    /// The answers of all tasks, in the order of the tasks in the job.
     pub answers: Vec<Box<RawValue>>,
 }
--- a/src/wire/closing.rs
+++ b/src/wire/closing.rs
@@ -1,9 +1,10 @@
-//! Connections of a server that end with it.
+//! Server connections that are closed when their server stops.
 //!
 //! A server library runs each connection on a task of its own, which outlives the listener. In a
-//! process that goes on, as with an embedded entry or in a demo, such a connection would be
-//! answered by a part that has stopped, with what it knew then. So each connection also waits for
-//! the stop, and breaks as that of a process that has ended.
+//! process that keeps running, as with an embedded entry or in a demo, requests on such a
+//! connection would be answered from the outdated state of a component that has stopped. So each
+//! connection also waits for the stop, and then fails like a connection to a process that has
+//! ended.
 
 use std::future::Future;
 use std::io;
@@ -14,26 +15,26 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Ends all connections that were opened with it; clones end the same ones.
+/// Closes all connections that it has wrapped; clones share these connections.
 #[derive(Clone, Debug)]
 pub struct Switch(watch::Sender<bool>);
 
-/// Opens a switch that has not been used.
+/// Creates a switch without connections.
 pub fn open() -> Switch {
     Switch(watch::channel(false).0)
 }
 
 impl Switch {
-    /// Ends the connections, now and for good.
+    /// Closes the connections wrapped so far; those wrapped later fail at once.
     pub fn close(&self) {
         self.0.send_replace(true);
     }
 
-    /// A connection that breaks when the switch is closed.
+    /// Wraps a stream in a connection that fails once the switch is closed.
     pub fn wrap(&self, stream: TcpStream) -> Connection {
         let mut rx = self.0.subscribe();
         let closed = async move {
-            // An error says that the server has been dropped, which ends its connections as well.
+            // An error means that the server was dropped, which closes its connections as well.
             let _ = rx.wait_for(|closed| *closed).await;
         };
         Connection {
@@ -44,7 +45,7 @@
     }
 }
 
-/// A connection of a server.
+/// A server's TCP stream; reads and writes return `ConnectionAborted` once its switch is closed.
 pub struct Connection {
     stream: TcpStream,
     closed: Pin<Box<dyn Future<Output = ()> + Send>>,
@@ -52,7 +53,7 @@
 }
 
 impl Connection {
-    fn check(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
+    fn fail_if_closed(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
         self.is_closed = self.is_closed || self.closed.as_mut().poll(cx).is_ready();
         if self.is_closed {
             return Err(io::ErrorKind::ConnectionAborted.into());
@@ -67,7 +68,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if let Err(e) = self.check(cx) {
+        if let Err(e) = self.fail_if_closed(cx) {
             return Poll::Ready(Err(e));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
@@ -80,7 +81,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if let Err(e) = self.check(cx) {
+        if let Err(e) = self.fail_if_closed(cx) {
             return Poll::Ready(Err(e));
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
--- a/src/wire/http.rs
+++ b/src/wire/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client over `hyper-util`, shared by the interfaces that speak HTTP.
+//! A small HTTP client over `hyper-util`, shared by all interfaces that use HTTP.
 
 use std::error::Error as _;
 use std::fmt;
@@ -14,18 +14,18 @@
 use serde::Serialize;
 use tokio::time::timeout;
 
-/// Why an exchange brought no whole answer.
+/// The reason why a call returned no complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// No connection was made, so the other side saw nothing.
+    /// No connection was made, so the server received nothing.
     NotSent,
-    /// The connection was refused: nothing listens there, and so nothing was sent.
+    /// The connection was refused: no process listens at the address, so nothing was sent.
     Refused,
-    /// The request left; whether it took effect can't be told.
+    /// The connection failed after the request was sent; it may have taken effect.
     Broken,
-    /// The time ran out after the request left.
+    /// No complete answer came in time; the request may have been sent and taken effect.
     TimedOut,
-    /// The answer was over the limit.
+    /// The answer was larger than the client accepts.
     TooLarge,
 }
 
@@ -44,25 +44,25 @@
 
 impl std::error::Error for Error {}
 
-/// A whole answer.
+/// A complete answer of a server.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The body, complete.
+    /// The complete body.
     pub body: Bytes,
 }
 
 /// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The whole address, such as `http://127.0.0.1:7001/v1/jobs`.
+    /// The full URL, such as `http://127.0.0.1:7001/v1/jobs`.
     pub uri: String,
-    /// Headers beside the ones that HTTP itself needs.
+    /// Headers in addition to those that HTTP itself requires.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The body; empty where the method has none.
     pub body: Bytes,
 }
 
@@ -77,50 +77,50 @@
         }
     }
 
-    /// Builds a POST of a message in JSON.
+    /// Builds a POST with a message in JSON as its body.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NotSent`] for a message that has no form in JSON.
+    /// Returns [`Error::NotSent`] if the message can't be encoded as JSON.
     pub fn json(uri: String, message: &impl Serialize) -> Result<Call, Error> {
         let body = serde_json::to_vec(message).map_err(|_| Error::NotSent)?;
         Ok(Call::new(Method::POST, uri, body).header("content-type", "application/json"))
     }
 
-    /// Adds a header.
+    /// Adds a header and returns the call.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Call {
         self.headers.push((name, value.into()));
         self
     }
 }
 
-/// A client that keeps connections open between calls; clones share them.
+/// A client that keeps connections open between calls; clones share the connections.
 #[derive(Clone)]
 pub struct Client {
     inner: legacy::Client<HttpConnector, Full<Bytes>>,
     max_answer: usize,
 }
 
-/// Opens a client that takes answers of at most `max_answer` bytes.
+/// Creates a client that accepts answers of at most `max_answer` bytes.
 pub fn open(max_answer: usize) -> Client {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(time::Duration::from_secs(1)));
     let inner = legacy::Client::builder(TokioExecutor::new())
         .pool_idle_timeout(time::Duration::from_secs(20))
-        // A pooled connection that the other side closes is retried by the library only where it
-        // knows that nothing was sent. A retry on our account would start a task twice.
+        // The library itself retries a call on a pooled connection that the server has closed only
+        // where it knows that nothing was sent. Any other retry could start a task twice.
         .retry_canceled_requests(false)
         .build(connector);
     Client { inner, max_answer }
 }
 
 impl Client {
-    /// Sends one request and waits for the whole answer, `limit` at the longest.
+    /// Sends one request and waits at most `limit` for the complete answer.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] and [`Error::Refused`] are the only ones that prove the other side saw nothing.
+    /// Only [`Error::NotSent`] and [`Error::Refused`] prove that the server received nothing.
     pub async fn call(&self, call: Call, limit: time::Duration) -> Result<Answer, Error> {
         match timeout(limit, self.exchange(call)).await {
             Ok(result) => result,
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -1,10 +1,10 @@
-//! A lasting two-way connection between two of the system's processes, over jsonrpsee.
+//! A link: a long-lived connection on which two processes send each other messages, over jsonrpsee.
 //!
-//! The client subscribes with a hello; the server's messages come as items of that subscription
-//! and the client's go as JSON-RPC notifications, so neither side answers a message only to say
-//! that it came. Whatever waits when the writer is free leaves as one message: starts and answers
-//! of the same moment are grouped without any added delay. A link promises nothing about loss;
-//! both users of it ask again by key after a reconnect.
+//! The client subscribes with a hello. The server sends its messages as items of that subscription
+//! and the client sends its own as JSON-RPC notifications, so neither side has to acknowledge each
+//! message. All items that are queued when the writer is free are sent as one message: starts and
+//! answers of the same moment are grouped without any added delay. A link doesn't guarantee
+//! delivery; both its users ask again by key, after a reconnect, for what is outstanding.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -26,48 +26,50 @@
 use serde_json::value;
 use tokio::sync::mpsc;
 
-/// Most items that one message may carry.
+/// Maximum number of items in one message.
 const MAX_GROUP: usize = 256;
 
-/// Bytes of items after which a message carries no more of them.
+/// Maximum estimated size of the items in one message, in bytes; a single larger item is sent
+/// alone.
 const MAX_GROUP_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest message, in bytes.
+/// Largest message that a link accepts, in bytes.
 const MAX_MESSAGE: u32 = 32 * 1024 * 1024;
 
-/// Messages that a client holds for a reader that is behind; a link with more is closed, and its
-/// successor asks by key for what was outstanding.
+/// Number of received messages that a client queues until they are handled. A link with more is
+/// closed; after the reconnect, its user asks by key for what is outstanding.
 pub const MAX_UNREAD: usize = 65_536;
 
-/// Messages that a server holds for a client that doesn't read; its writer waits beyond that.
+/// Number of messages that a server queues for a client that doesn't read; beyond that the writer
+/// waits.
 const MAX_UNSENT: u32 = 1_024;
 
-/// Most links of a server.
+/// Maximum number of links of a server.
 const MAX_CONNECTIONS: u32 = 4_096;
 
-/// Pause between the pings by which a server finds connections that nobody is behind any more.
+/// Interval between the pings by which a server detects connections whose client is gone.
 const PING: time::Duration = time::Duration::from_secs(30);
 
-/// Bytes that JSON-RPC and the WebSocket frame add to a message, about.
+/// Approximate bytes that JSON-RPC and the WebSocket frame add to a message.
 const ENVELOPE: usize = 90;
 
-/// How long a connection may take to open.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// The sending half of a link; the link closes once all clones are dropped.
+/// The queue of the items to be sent on a link; the link closes once all clones are dropped.
 pub type Sender<T> = mpsc::UnboundedSender<T>;
 
-/// The receiving half, from which a link takes what it sends.
+/// The queue from which a link takes the items that it sends.
 pub type Receiver<T> = mpsc::UnboundedReceiver<T>;
 
-/// The accepting side of links.
+/// The listener for links and the links that it has accepted.
 pub struct Server {
     addr: net::SocketAddr,
     handle: ServerHandle,
 }
 
 impl Server {
-    /// Where the server listens.
+    /// Returns the address at which the server listens, with its actual port.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
@@ -78,33 +80,37 @@
     }
 }
 
-/// Counts a message that leaves, with its bytes.
+/// Counts a message that is sent, with its size in bytes.
 pub type OnSent<Out> = Arc<dyn Fn(&Out, usize) + Send + Sync>;
 
-/// Tells about how many bytes an item takes on the wire.
+/// Returns the approximate size of an item on the wire, in bytes.
 pub type EstimateBytes<Item> = fn(&Item) -> usize;
 
 /// Groups the items of one link into one message.
 pub type Group<Item, Out> = Arc<dyn Fn(Vec<Item>) -> Out + Send + Sync>;
 
-/// Takes the hello of a new link and the way back, and tells how the link groups its items.
-/// Dropping the sender closes the link.
+/// Receives the hello of a new link and the sender for the link's items, and returns how the link
+/// groups its items into messages. Dropping the sender closes the link.
 pub type OnOpen<Hello, Item, Out> =
     Arc<dyn Fn(Hello, Sender<Item>) -> Group<Item, Out> + Send + Sync>;
 
-/// What a server does with its links.
+/// The functions that a server calls on the events of its links.
 pub struct ServerHandlers<Hello, Item, In, Out> {
-    /// Takes a new link.
+    /// Called for each new link.
     pub on_open: OnOpen<Hello, Item, Out>,
-    /// Takes one message of a client.
+    /// Called with each message that a client sends.
     pub on_message: Arc<dyn Fn(In) + Send + Sync>,
-    /// Counts a message of the server that leaves, with its bytes.
+    /// Called with each message that the server sends and its size in bytes.
     pub on_sent: OnSent<Out>,
-    /// Weighs an item of the server.
+    /// Estimates the size of an item that the server sends, to limit the size of its messages.
     pub estimate_bytes: EstimateBytes<Item>,
 }
 
-/// Binds a server of links.
+/// Starts a server that accepts links at `addr`.
+///
+/// # Errors
+///
+/// Returns an error where the address can't be bound.
 pub async fn bind<Hello, Item, In, Out>(
     addr: net::SocketAddr,
     service: ServerHandlers<Hello, Item, In, Out>,
@@ -139,7 +145,7 @@
     Ok(Server { addr, handle })
 }
 
-/// Turns what waits into one message on the wire.
+/// Groups the queued items of a link into messages.
 struct Outbox<Item, Out> {
     group: Group<Item, Out>,
     on_sent: OnSent<Out>,
@@ -149,11 +155,12 @@
 }
 
 impl<Item, Out: Serialize> Outbox<Item, Out> {
-    /// Waits for items and takes those that leave as one message; none once the link is let go.
+    /// Waits for items and returns those to be sent as one message; none once all senders of the
+    /// link are dropped.
     ///
-    /// Guards against a group of items, each of a fair size, that makes a message over the limit:
-    /// the link would close, and its users would send the same items again in one group on the
-    /// next.
+    /// Limits a message by bytes too: many items of moderate size could together exceed the largest
+    /// message. The link would then close, and its user would send the same items in one group on
+    /// the next link.
     async fn next(&mut self) -> Vec<Item> {
         if self.waiting.is_empty() {
             let mut items = Vec::new();
@@ -214,7 +221,7 @@
                 waiting: VecDeque::new(),
             };
             write_up(pending, outbox).await;
-            // Without this the client would go on with a link that nobody serves any more.
+            // Without this error the client would keep using a link that the server has closed.
             Err(core::SubscriptionError::from("the link is closed"))
         }
     })?;
@@ -245,9 +252,9 @@
     }
 }
 
-/// Guards against connections whose other end vanished without a word: the writer of such a link
-/// would wait, and its socket stay open, for ever. The links' own silence limits don't close the
-/// server's end, since only the client's process learns of them.
+/// Configures the pings that detect connections whose client is gone without having closed them:
+/// the writer of such a link would wait, and its socket stay open, for ever. The silence limits of
+/// the links' users don't close the server's end, since only the client's process applies them.
 fn pings() -> PingConfig {
     PingConfig::new()
         .ping_interval(PING)
@@ -264,7 +271,7 @@
     })
 }
 
-/// Takes notifications, which jsonrpsee's own service would pass over.
+/// Delivers notifications, which jsonrpsee's own service would ignore.
 #[derive(Clone)]
 struct Inbox<S> {
     inner: S,
@@ -301,25 +308,25 @@
     }
 }
 
-/// What a client of a link does.
+/// The functions that a client calls on the events of its link.
 pub struct ClientHandlers<Item, In, Out> {
-    /// Takes one message of the server.
+    /// Called with each message that the server sends.
     pub on_message: Arc<dyn Fn(In) + Send + Sync>,
     /// Groups items into one message of the client.
     pub group: Group<Item, Out>,
-    /// Counts a message of the client that leaves, with its bytes.
+    /// Called with each message that the client sends and its size in bytes.
     pub on_sent: OnSent<Out>,
-    /// Weighs an item of the client.
+    /// Estimates the size of an item that the client sends, to limit the size of its messages.
     pub estimate_bytes: EstimateBytes<Item>,
-    /// Runs once when the link is gone.
+    /// Called once, when the link has closed.
     pub on_closed: Box<dyn FnOnce() + Send>,
 }
 
-/// Connects a link that sends what comes from `rx`, and closes once that channel does.
+/// Opens a link to `addr` that sends the items of `rx`, and closes once that channel is closed.
 ///
 /// # Errors
 ///
-/// Returns an error where no connection came about in time.
+/// Returns an error if the link couldn't be opened in time.
 pub async fn connect<Hello, Item, In, Out>(
     addr: &str,
     hello: Hello,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The interfaces between processes: typed messages, and a client and server of each.
+//! The interfaces between processes: their messages, and the clients and servers that exchange
+//! them.
 
 pub mod agent;
 pub mod backend;
--- a/src/wire/objects.rs
+++ b/src/wire/objects.rs
@@ -1,9 +1,10 @@
-//! Large inputs and answers by way of the object store, so that links carry small messages only.
+//! Passes large inputs and answers through the object store, so that links carry only small
+//! messages.
 //!
-//! The entry that takes a submission stores large inputs; the agent that runs a task fetches its
-//! input, and stores a large answer; the entry that replies fetches it. In between a reference
-//! stands for the value, which owners and ledgers handle as any other. `docs/design/messages.md`
-//! has the limits.
+//! The entry that accepts a submission stores large inputs; the agent that runs a task fetches its
+//! input, and stores a large answer; the entry that replies fetches it. Messages carry a reference
+//! to the stored object in place of the value, which owners and ledgers handle like any other
+//! value. `docs/design/messages.md` has the limits.
 
 use std::time;
 
@@ -15,24 +16,25 @@
 use crate::backoff;
 use crate::wire::platform::{self, Error};
 
-/// Largest input that travels inside messages, in bytes.
+/// Largest input that messages carry themselves, in bytes.
 pub const MAX_INLINE_INPUT: usize = 64 * 1024;
 
-/// Largest answer that travels inside messages, in bytes. A whole job of the most tasks that a
-/// class may allow stays under half of a link's limit with it.
+/// Largest answer that messages carry themselves, in bytes. With it, the answers of a job with the
+/// most tasks that a class may allow stay under half of a link's message limit.
 pub const MAX_INLINE_ANSWER: usize = 16 * 1024;
 
-/// Attempts at one operation.
-const TRIES: u32 = 4;
+/// Maximum number of attempts at one operation.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Pauses between the attempts, growing from the first to the second with jitter.
+/// Bounds of the backoff between attempts, which grows from the first to the second with jitter.
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(50);
 const MAX_PAUSE: time::Duration = time::Duration::from_millis(400);
 
-/// What stands for a value that is in the object store.
+/// Replaces, in messages, a value that is in the object store.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct Reference {
+    /// Name of the object.
     lovagemill_object: CompactString,
 }
 
@@ -40,20 +42,22 @@
     serde_json::from_str(value.get()).ok()
 }
 
-/// Tells whether a value goes through the object store: a large one, and one that reads like a
-/// reference.
+/// Returns whether a value must be put into the object store: one of more than `limit` bytes, or
+/// one that has the form of a reference.
 ///
-/// Guards against a caller or a backend server that writes a reference of its own and would so be
-/// given another client account's object: what they write is always a value, never a reference.
+/// A value of that form is stored because a caller or a backend server could otherwise write a
+/// reference itself and so receive another client account's object. What they write is always a
+/// value, never a reference.
 pub fn needs_object_store(value: &RawValue, limit: usize) -> bool {
     value.get().len() > limit || reference(value).is_some()
 }
 
-/// Stores a value under a name of its own. Returns the name and what stands for the value.
+/// Stores a value under a unique name that starts with `kind`. Returns the name and the reference
+/// that replaces the value in messages.
 ///
 /// # Errors
 ///
-/// Returns an error where the object store doesn't take it after some attempts.
+/// Returns the error of the last attempt if several attempts failed.
 pub async fn store(
     objects: &platform::Objects,
     kind: &str,
@@ -63,25 +67,25 @@
     let body = Bytes::copy_from_slice(value.get().as_bytes());
     let mut backoff = backoff::open(MIN_PAUSE, MAX_PAUSE);
     for attempt in 1.. {
-        // Nobody else writes this name, so a put that may have taken effect is simply repeated.
+        // No other process writes this name, so a put that may have taken effect can be repeated.
         match (objects.put)(name.clone(), body.clone()).await {
             Ok(()) => break,
-            Err(e) if attempt >= TRIES => return Err(e),
+            Err(e) if attempt >= MAX_ATTEMPTS => return Err(e),
             Err(_) => tokio::time::sleep(backoff.pause()).await,
         }
     }
     let reference = Reference {
         lovagemill_object: name.clone(),
     };
-    let stand_in = value::to_raw_value(&reference).map_err(|_| Error::NotDone)?;
-    Ok((name, stand_in))
+    let encoded = value::to_raw_value(&reference).map_err(|_| Error::NotDone)?;
+    Ok((name, encoded))
 }
 
-/// Fetches the value that a reference stands for; any other value is returned as it is.
+/// Fetches the value that a reference names; any other value is returned unchanged.
 ///
 /// # Errors
 ///
-/// Returns an error where the object can't be fetched after some attempts, or isn't there.
+/// Returns an error if several attempts failed, or if the object doesn't exist or isn't JSON.
 pub async fn load(
     objects: &platform::Objects,
     value: Box<RawValue>,
@@ -96,15 +100,15 @@
                 return serde_json::from_slice(&body).map_err(|_| Error::Unknown);
             }
             Ok(None) => return Err(Error::NotDone),
-            Err(e) if attempt >= TRIES => return Err(e),
+            Err(e) if attempt >= MAX_ATTEMPTS => return Err(e),
             Err(_) => tokio::time::sleep(backoff.pause()).await,
         }
     }
     Err(Error::Unknown)
 }
 
-/// Removes objects behind the caller's back. What stays, because the store is down or the process
-/// ends, is left to the store's own expiry.
+/// Removes objects in the background, without retries. Objects that remain because the store is
+/// down or the process ends are left to the store's own expiry.
 pub fn remove(objects: &platform::Objects, names: Vec<CompactString>) {
     if names.is_empty() {
         return;
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,4 +1,5 @@
-//! Between entries: submissions passed to the owner of their cell, and the answers' way back.
+//! The messages between entries: an entry forwards submissions to the owner of their cell, and the
+//! owner returns how they ended. They travel over a [`link`](crate::wire::link).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,99 +13,104 @@
 use crate::id;
 use crate::submission;
 
-/// Silence after which an owner sends a heartbeat to another entry.
+/// Time without a message after which an owner sends a heartbeat to another entry.
 pub const HEARTBEAT: time::Duration = time::Duration::from_secs(1);
 
-/// Silence after which the other entry begins to watch whether the owner still beats in the table.
+/// Time without a message after which the other entry begins to check whether the owner still
+/// writes its heartbeat row in the table.
 pub const SUSPECT_AFTER: time::Duration = time::Duration::from_millis(1_500);
 
-/// Silence after which the other entry takes the link for dead.
+/// Time without a message from the owner, or without its confirmation of a message sent to it,
+/// after which the other entry treats the link as failed.
 pub const SILENCE: time::Duration = time::Duration::from_millis(2_500);
 
-/// The hello of an entry to an owner.
+/// The first message of a link, which an entry sends to an owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hello {
-    /// Who connects.
+    /// The entry that opens the link.
     pub entry: id::EntryId,
-    /// Its number for this link.
+    /// The number that the entry gave this link; all later messages repeat it.
     pub link: id::Link,
 }
 
-/// A message to the owner.
+/// A message from an entry to the owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Down {
     /// The sender.
     pub entry: id::EntryId,
     /// The link that carries the message.
     pub link: id::Link,
-    /// The sender's configuration version, so that news spreads on messages.
+    /// The sender's configuration version, by which the receiver learns of a newer one.
     pub config: id::Version,
-    /// What is passed on.
+    /// The items of the message, in the order of sending.
     pub items: Vec<DownItem>,
 }
 
-/// One thing that is passed to an owner.
+/// One item of a message to the owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DownItem {
-    /// A submission; `seq` is the sender's own number for its answer.
+    /// A forwarded submission; the number is the sender's own, and the owner's answer repeats it.
     Submit(u64, Box<submission::Submission>),
-    /// A cancellation.
+    /// The cancellation of a job, with the sender's number for it.
     Cancel(u64, id::JobKey),
     /// The sender can't read the table, and wants the configuration if it is newer than this.
     WantConfig(id::Version),
-    /// The configuration that the owner wanted.
+    /// The configuration that the owner asked for.
     Config(Box<class::Versioned>),
-    /// Nothing else was said for a while, or the sender has a newer configuration.
+    /// Sent after a time without other items, or when the sender has a newer configuration.
     Heartbeat,
 }
 
-/// A message of the owner.
+/// A message from the owner to another entry.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Up {
     /// The sender.
     pub entry: id::EntryId,
     /// The link that carries the message.
     pub link: id::Link,
-    /// Messages that came on this link so far; see [`delivery`](crate::decide::delivery).
+    /// Number of messages that the owner has received on this link; see
+    /// [`delivery`](crate::decide::delivery).
     pub received: u64,
-    /// The owner's configuration version.
+    /// The owner's configuration version, by which the receiver learns of a newer one.
     pub config: id::Version,
-    /// What the owner knows of the watched rows, if it has read them.
+    /// The state of the watched rows as known to the owner, if it has read them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub head: Option<Head>,
-    /// What it has to say.
+    /// The items of the message, in the order of sending.
     pub items: Vec<UpItem>,
 }
 
-/// What an owner tells of the watched rows, so that others need not read them.
+/// The state of the watched rows as known to an owner, so that other entries need not read them.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Head {
-    /// Stands for the rows as the owner read them.
+    /// Digest of the rows as the owner read them.
     pub digest: head::Digest,
-    /// Milliseconds since that was last known to be so.
+    /// Milliseconds since the rows were last known to have this digest.
     pub age_ms: u64,
 }
 
-/// One thing that an owner returns.
+/// One item of a message from the owner.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpItem {
-    /// How a submission ended.
+    /// How a submission ended, with the number that the receiver gave it.
     Ending(u64, Arc<submission::Ending>),
-    /// The receiver isn't the owner, or no longer; the sender looks again.
+    /// The sender doesn't own the cell, or no longer, of the submission or cancellation that the
+    /// receiver gave this number; the receiver looks up the owner again.
     NotOwner(u64),
     /// The sender can't read the table, and wants the configuration if it is newer than this.
     WantConfig(id::Version),
-    /// The configuration that the receiver wanted.
+    /// The configuration that the receiver asked for.
     Config(Box<class::Versioned>),
-    /// The configuration versions of the entries that the sender has heard.
+    /// The configuration versions that the sender has received from other entries.
     Versions(BTreeMap<id::EntryId, id::Version>),
-    /// Nothing else was said for a while, or the watched rows have changed.
+    /// Sent after a time without other items, or when the watched rows have changed.
     Heartbeat,
 }
 
-/// The kind under which a message to the owner is counted.
+/// Returns the kind under which a message to the owner is counted: one with a submission or a
+/// cancellation counts as forwarded work.
 pub fn kind_down(items: &[DownItem]) -> count::Kind {
     let forwards = |item: &DownItem| matches!(item, DownItem::Submit(..) | DownItem::Cancel(..));
     if items.iter().any(forwards) {
@@ -114,7 +120,8 @@
     }
 }
 
-/// The kind under which a message of the owner is counted.
+/// Returns the kind under which a message from the owner is counted: one that answers forwarded
+/// work counts with that.
 pub fn kind_up(items: &[UpItem]) -> count::Kind {
     let forwards = |item: &UpItem| matches!(item, UpItem::Ending(..) | UpItem::NotOwner(_));
     if items.iter().any(forwards) {
@@ -124,36 +131,38 @@
     }
 }
 
-/// Bytes that an item takes beside what varies, about.
-const ITEM: usize = 300;
+/// Approximate bytes of an item, or of one task in it, without inputs and answers.
+const ITEM_BYTES: usize = 300;
 
-/// About how many bytes an item to the owner takes on the wire.
+/// Returns the approximate size of an item to the owner on the wire, in bytes.
 pub fn estimate_down_bytes(item: &DownItem) -> usize {
     match item {
         DownItem::Submit(_, submission) => {
             let tasks = submission.job.tasks.iter();
-            ITEM + tasks
-                .map(|task| ITEM + task.input.get().len())
-                .sum::<usize>()
+            ITEM_BYTES
+                + tasks
+                    .map(|task| ITEM_BYTES + task.input.get().len())
+                    .sum::<usize>()
         }
         DownItem::Config(_) => class::MAX_DOCUMENT_BYTES,
-        _ => ITEM,
+        _ => ITEM_BYTES,
     }
 }
 
-/// About how many bytes an item of the owner takes on the wire.
+/// Returns the approximate size of an item from the owner on the wire, in bytes.
 pub fn estimate_up_bytes(item: &UpItem) -> usize {
     match item {
         UpItem::Ending(_, ending) => match &**ending {
             submission::Ending::Complete(answers) => {
-                ITEM + answers
-                    .iter()
-                    .map(|answer| answer.get().len())
-                    .sum::<usize>()
+                ITEM_BYTES
+                    + answers
+                        .iter()
+                        .map(|answer| answer.get().len())
+                        .sum::<usize>()
             }
-            submission::Ending::Failed(_) => ITEM,
+            submission::Ending::Failed(_) => ITEM_BYTES,
         },
         UpItem::Config(_) => class::MAX_DOCUMENT_BYTES,
-        _ => ITEM,
+        _ => ITEM_BYTES,
     }
 }
--- a/src/wire/platform.rs
+++ b/src/wire/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's table and object store: a narrow interface, and its client over HTTP.
+//! The interface to the platform's table and object store, and a client of it over HTTP.
 //!
-//! Everything about the platform's wire is in this one module, so that the users' real platform
-//! can be met by replacing [`connect`]. The interface is a plain struct of functions: tests pass
+//! This module alone knows the platform's protocol, so that the users' real platform can be
+//! connected by replacing [`connect`]. The interface is a plain struct of functions: tests pass
 //! closures, the daemons pass the HTTP client. See `docs/design/interfaces.md`.
 
 use std::future::Future;
@@ -19,24 +19,24 @@
 use crate::decide::budget;
 use crate::wire::http;
 
-/// Largest answer that the table or the object store may give, in bytes.
+/// Largest answer of the table or the object store that is accepted, in bytes.
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
 
-/// Bytes that HTTP's request and status lines and headers add to an exchange, about.
+/// Approximate bytes that the request line, the status line and the headers of HTTP add to a call.
 const HEADERS: usize = 260;
 
 /// Counts the changes of one row; 0 means that the row is absent.
 pub type Revision = u64;
 
-/// A future that can be sent between threads.
+/// The future of one platform call, boxed so that any client can return it.
 pub type Pending<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// One row of the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// The key; rows are sorted by it.
+    /// The key, unique in the table; rows are sorted by it.
     pub key: CompactString,
-    /// The value, a JSON text.
+    /// The value, as JSON text.
     pub value: String,
     /// The row's revision, never 0.
     pub revision: Revision,
@@ -45,32 +45,32 @@
 /// What must hold of a row for a transaction to be committed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Condition {
-    /// The row.
+    /// Key of the row.
     pub key: CompactString,
-    /// Its revision; 0 asks for the row to be absent.
+    /// The revision that the row must have; 0 requires the row to be absent.
     pub revision: Revision,
 }
 
 /// A change of one row inside a transaction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Write {
-    /// The row.
+    /// Key of the row.
     pub key: CompactString,
-    /// The new value, or nothing to remove the row.
+    /// The new value; `None` removes the row.
     pub value: Option<String>,
 }
 
 /// A transaction: all writes are done if all conditions hold, else none.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Transaction {
-    /// The conditions.
+    /// The conditions, of which all must hold.
     pub conditions: Vec<Condition>,
-    /// The writes.
+    /// The changes to make; they take effect together.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Writes one row if it still has the revision given.
+    /// Returns a transaction that writes one row if it still has this revision.
     pub fn put_if(key: &str, revision: Revision, value: String) -> Transaction {
         Transaction {
             conditions: vec![Condition {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Writes one row whatever it holds.
+    /// Returns a transaction that writes one row without a condition.
     pub fn put(key: &str, value: String) -> Transaction {
         Transaction {
             conditions: Vec::new(),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Removes rows whatever they hold.
+    /// Returns a transaction that removes rows without a condition.
     pub fn remove(keys: impl IntoIterator<Item = CompactString>) -> Transaction {
         let write = |key| Write { key, value: None };
         Transaction {
@@ -111,20 +111,20 @@
 pub enum Commit {
     /// All writes were done; the rows written have this revision.
     Done(Revision),
-    /// A condition didn't hold on this row; nothing was written.
+    /// The condition on this row didn't hold; nothing was written.
     Conflict(CompactString),
 }
 
-/// Why the platform gave no answer.
+/// Whether an operation that the platform didn't answer, or refused, may have taken effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// The operation surely had no effect.
+    /// The operation had no effect.
     NotDone,
     /// The operation may have taken effect; read before trying again.
     Unknown,
 }
 
-/// The transactional table.
+/// The operations of the platform's transactional table.
 #[derive(Clone)]
 pub struct Table {
     /// Reads one row.
@@ -135,40 +135,40 @@
     pub commit: Arc<dyn Fn(Transaction) -> Pending<Result<Commit, Error>> + Send + Sync>,
 }
 
-/// The object store.
+/// The operations of the platform's object store.
 #[derive(Clone)]
 pub struct Objects {
-    /// Stores an object under a name.
+    /// Stores an object under a name; a put that may have taken effect may be repeated.
     pub put: Arc<dyn Fn(CompactString, Bytes) -> Pending<Result<(), Error>> + Send + Sync>,
-    /// Fetches an object.
+    /// Fetches an object; `None` if no object has this name.
     pub get: Arc<dyn Fn(CompactString) -> Pending<Result<Option<Bytes>, Error>> + Send + Sync>,
-    /// Removes an object.
+    /// Removes an object; it is no error if no object has this name.
     pub remove: Arc<dyn Fn(CompactString) -> Pending<Result<(), Error>> + Send + Sync>,
 }
 
 /// Both of the platform's services.
 #[derive(Clone)]
 pub struct Platform {
-    /// The table.
+    /// The table, which holds small rows and decides conflicts between writers.
     pub table: Table,
-    /// The object store.
+    /// The object store, which holds inputs and answers too large for messages.
     pub objects: Objects,
 }
 
-/// How a table answers over HTTP.
+/// The body of the table's `get` and `scan` requests over HTTP.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Key {
     /// A row's key, or a prefix of keys.
     pub key: CompactString,
 }
 
-/// Connects to the platform at `addr` (host and port). Each call takes `limit` at the longest,
-/// beside its wait for the budget of [`budget::ENTRY_LIMITS`].
+/// Returns a client of the platform at `addr` (host and port). Each call takes at most `limit`, in
+/// addition to its wait for the budget of [`budget::ENTRY_LIMITS`].
 pub fn connect(addr: &str, limit: time::Duration, messages: count::Messages) -> Platform {
     connect_with_limits(addr, limit, messages, budget::ENTRY_LIMITS)
 }
 
-/// Connects as [`connect`] does, with another budget.
+/// Returns a client as [`connect`] does, with the budget of `limits`.
 pub fn connect_with_limits(
     addr: &str,
     limit: time::Duration,
@@ -249,8 +249,9 @@
 }
 
 impl Remote {
-    /// Waits until the budget has room. What doesn't get room in time is not sent.
-    async fn afford(&self, usage: count::Usage) -> Result<(), Error> {
+    /// Waits until the budget allows an operation. One that would have to wait longer than the
+    /// limit of a call is refused and not sent.
+    async fn await_budget(&self, usage: count::Usage) -> Result<(), Error> {
         let budget = match usage {
             count::Usage::Read => &self.reads,
             count::Usage::Write => &self.writes,
@@ -282,14 +283,14 @@
             count::Kind::TableWrite => count::Usage::Write,
             _ => count::Usage::Read,
         };
-        self.afford(usage).await?;
+        self.await_budget(usage).await?;
         self.messages.add(kind, 2);
         let sent = body.len();
         let call = http::Call::new(Method::POST, uri, body);
         let answer = self.http.call(call, self.limit).await.map_err(from_http)?;
         let bytes = sent + answer.body.len() + HEADERS;
         self.messages.add_bytes(kind, bytes as u64);
-        refuse(answer.status)?;
+        check_status(answer.status)?;
         serde_json::from_slice(&answer.body).map_err(|_| Error::Unknown)
     }
 
@@ -305,23 +306,24 @@
         } else {
             count::Usage::Write
         };
-        self.afford(usage).await?;
+        self.await_budget(usage).await?;
         self.messages.add(count::Kind::Object, 2);
         let call = http::Call::new(method, uri, body);
         let answer = self.http.call(call, self.limit).await.map_err(from_http)?;
         if answer.status.as_u16() == 404 {
             return Ok(None);
         }
-        refuse(answer.status)?;
+        check_status(answer.status)?;
         Ok(Some(answer.body))
     }
 }
 
-/// Tells what a status means for the operation.
+/// Returns an error for a status other than success, and whether the operation may have taken
+/// effect.
 ///
-/// Guards against a gateway between here and the platform that gives up on an operation which
-/// still takes effect: only a mistaken request, 429 and 503 say that nothing was done.
-fn refuse(status: StatusCode) -> Result<(), Error> {
+/// A gateway between this process and the platform may give up on an operation that still takes
+/// effect. So only a client error (4xx, 429 among them) and 503 mean that nothing was done.
+fn check_status(status: StatusCode) -> Result<(), Error> {
     if status.is_success() {
         Ok(())
     } else if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
--- a/src/wire/reach.rs
+++ b/src/wire/reach.rs
@@ -1,22 +1,22 @@
-//! Tells a dead process from a silent network.
+//! Distinguishes a process that has ended from a network that doesn't deliver.
 
 use std::time;
 
-/// How long an attempt may take.
+/// Maximum time for one connection attempt.
 const TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// What a plain connection attempt tells of a process.
+/// The result of a TCP connection attempt to a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reach {
-    /// It listens.
+    /// The process accepts connections.
     Open,
-    /// Its machine answers that nothing listens there.
+    /// The machine refused the connection: no process listens at the address.
     Refused,
-    /// Nothing answers.
+    /// No answer came in time, or the attempt failed in another way; the process may be alive.
     Silent,
 }
 
-/// Tries a plain connection, to tell a dead process from a silent network.
+/// Opens a TCP connection to `addr` (host and port) and closes it again.
 pub async fn probe(addr: &str) -> Reach {
     let connecting = tokio::net::TcpStream::connect(addr);
     match tokio::time::timeout(TIMEOUT, connecting).await {
--- a/src/wire/server.rs
+++ b/src/wire/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server over gotham, shared by everything here that listens for HTTP.
+//! A small HTTP server over gotham, shared by all components that accept HTTP requests.
 
 use std::future::Future;
 use std::net;
@@ -22,26 +22,27 @@
 use crate::refusal;
 use crate::wire::closing;
 
-/// How long a body may take to arrive, so that a slow or half-closed caller holds nothing.
+/// Maximum time for a body to arrive, so that a slow or half-closed caller doesn't occupy
+/// resources.
 const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// A request as it came, its body not yet read.
+/// A request whose body hasn't been read yet.
 pub struct Incoming {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path and query.
+    /// The path and query of the request.
     pub uri: Uri,
-    /// The headers.
+    /// All headers of the request.
     pub headers: HeaderMap,
     body: Body,
 }
 
 impl Incoming {
-    /// Reads the whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
     ///
-    /// Refuses a body that is over `max` bytes, broken off or too slow.
+    /// Returns a refusal for a body that is over `max` bytes, incomplete or too slow.
     pub async fn read_body(self, max: usize) -> Result<Bytes, refusal::Refusal> {
         let limited = Limited::new(self.body, max);
         match tokio::time::timeout(BODY_TIMEOUT, limited.collect()).await {
@@ -54,34 +55,35 @@
         }
     }
 
-    /// A header's text; empty where its value isn't text.
+    /// Returns a header's value; an empty one if the value isn't text, `None` without the header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let value = self.headers.get(name)?;
         Some(value.to_str().unwrap_or_default())
     }
 }
 
-/// An answer: its status, its type and its body.
+/// The answer to a request: its status, media type, body and, for a refusal, when to retry.
 pub struct Reply {
     status: StatusCode,
     mime: mime::Mime,
     body: Bytes,
+    /// Seconds.
     retry_after: Option<u64>,
 }
 
 impl Reply {
-    /// An answer in JSON.
+    /// Builds an answer in JSON.
     pub fn json(status: StatusCode, body: &impl Serialize) -> Reply {
         let body = serde_json::to_vec(body).unwrap_or_default();
         Reply::bytes(status, mime::APPLICATION_JSON, body)
     }
 
-    /// An answer in plain text.
+    /// Builds an answer in plain text.
     pub fn text(status: StatusCode, body: String) -> Reply {
         Reply::bytes(status, mime::TEXT_PLAIN_UTF_8, body)
     }
 
-    /// An answer of any type.
+    /// Builds an answer of any media type.
     pub fn bytes(status: StatusCode, mime: mime::Mime, body: impl Into<Bytes>) -> Reply {
         Reply {
             status,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// A refusal, with its code's status.
+    /// Builds the answer for a refusal, with the status of its code; 502 if that isn't an HTTP
+    /// status.
     pub fn refusal(refusal: &refusal::Refusal) -> Reply {
         let status = StatusCode::from_u16(refusal.code.status());
         let mut reply = Reply::json(status.unwrap_or(StatusCode::BAD_GATEWAY), refusal);
@@ -101,7 +104,7 @@
     }
 }
 
-/// A running server.
+/// A running server, which stops when it is dropped.
 pub struct Server {
     addr: net::SocketAddr,
     serving: JoinHandle<()>,
@@ -109,12 +112,12 @@
 }
 
 impl Server {
-    /// Where it listens.
+    /// Returns the address at which it listens, with its actual port.
     pub fn addr(&self) -> net::SocketAddr {
         self.addr
     }
 
-    /// Takes no more connections and breaks the open ones off.
+    /// Stops accepting connections and closes the open ones.
     pub fn stop(&self) {
         self.serving.abort();
         self.connections.close();
@@ -127,7 +130,7 @@
     }
 }
 
-/// Binds a server; every request goes to the handler.
+/// Starts a server at `addr` that calls the handler for each request.
 ///
 /// # Errors
 ///
@@ -139,8 +142,8 @@
 {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
-    // A panic in a request poisons the locks that it held, and every later use of what they guard
-    // fails in the open; nothing half changed is seen across it.
+    // A panic in a request poisons the locks that it held, so every later use of the data under
+    // them fails visibly; no request sees data that the panic left partly changed.
     let handler = AssertUnwindSafe(handler);
     let new_handler = move || {
         let handler = H::clone(&handler);
