--- a/src/decide/besteffort/asking.rs
+++ b/src/decide/besteffort/asking.rs
@@ -22,7 +22,7 @@
 /// Records which waiting work this entry has announced to each agent.
 #[derive(Debug, Default)]
 pub struct RoomRequests {
-    /// By link, the priority of the waiting work as the agent was told.
+    /// By link, the priority of the waiting work in the latest message to the agent.
     told_priorities: BTreeMap<LinkNo, u32>,
     /// The link that was asked last; the links after it are asked next.
     last_asked: LinkNo,
--- a/src/decide/besteffort/board/endings.rs
+++ b/src/decide/besteffort/board/endings.rs
@@ -1,5 +1,5 @@
-//! How jobs end: answered, given up or refused after all; the answers that are kept, and the log line of
-//! each.
+//! Ends jobs: answers them, gives them up or refuses them although they were accepted. Keeps the answers for
+//! callers that submit again, and writes the log line of each answer.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 use crate::decide::besteffort::board::{Action, Board, RETRY_AFTER};
 use crate::decide::besteffort::job::{Job, JobNo, NotRunReason, Outcome, Task};
 
-/// How long an answer is kept for a submission that arrives once more; callers submit again within seconds.
+/// How long an answer is kept; callers that submit a job again do so within seconds.
 const KEEP_ANSWERS_FOR: time::Duration = time::Duration::from_secs(15);
 
 /// Most answers that are kept; each takes a few hundred bytes.
@@ -19,7 +19,7 @@
 const LOG_AGENTS_AFTER: f64 = 1.5;
 
 impl Board {
-    /// Gives up every job that hasn't been answered, since the entry ends now.
+    /// Gives up every job that hasn't been answered; called when the entry process is about to exit.
     pub fn give_up_all(&mut self, now: time::Duration) {
         self.give_up_jobs(now, |_| true);
     }
--- a/src/decide/besteffort/board/place.rs
+++ b/src/decide/besteffort/board/place.rs
@@ -52,8 +52,8 @@
         &'a self,
         job: &'a Job,
     ) -> impl Iterator<Item = &'a AgentView> {
-        let suiting = self.suitable_agents(job);
-        suiting.filter(|view| view.backend.size.fits(&job.submission.need))
+        let suitable = self.suitable_agents(job);
+        suitable.filter(|view| view.backend.size.fits(&job.submission.need))
     }
 
     fn is_suitable(job: &Job, view: &AgentView) -> bool {
@@ -66,11 +66,11 @@
     /// Forecasts how long a new job waits until all its tasks have room, from the room that the tasks ahead
     /// of it need and the rate at which this entry has lately got room.
     pub(super) fn forecast_wait(&self, now: time::Duration, job: &Job) -> Forecast {
-        let (mut share, mut free) = (0.0, 0);
+        let (mut share, mut fitting) = (0.0, 0);
         for view in self.large_enough_agents(job) {
             let rate = view.backend.size.cpu as f64 / self.run_times.slowness(&view.agent).max(1.0);
             share += rate / f64::from(view.competing_entries);
-            free += view.free().cpu.max(0) / job.submission.need.cpu.max(1);
+            fitting += view.free().cpu.max(0) / job.submission.need.cpu.max(1);
         }
         let key = job.queue_key(JobNo::MAX, 0);
         let room_ahead: f64 = self
@@ -83,9 +83,9 @@
             wait: time::Duration::ZERO,
             room_ahead,
             room_rate: 0.0,
-            fitting_tasks: free,
+            fitting_tasks: fitting,
         };
-        if room_ahead == 0.0 && free > 0 {
+        if room_ahead == 0.0 && fitting > 0 {
             return forecast;
         }
         let mean_seconds = self.flow.mean_run_seconds(now, job.estimate.as_secs_f64());
--- a/src/decide/besteffort/board/reach.rs
+++ b/src/decide/besteffort/board/reach.rs
@@ -20,7 +20,9 @@
 #[derive(Debug)]
 pub(super) struct Parked {
     no: JobNo,
+    /// The agents whose links were opening when the job arrived.
     opening: Vec<id::AgentId>,
+    /// Until when the job waits for them at most.
     until: time::Duration,
 }
 
@@ -217,13 +219,13 @@
         }
     }
 
-    /// Returns the wanted agents that have been without a link for longer than `long`.
+    /// Returns the agents to which a link is wanted and has been missing for longer than `min_duration`.
     pub fn agents_unreachable_for(
         &self,
         now: time::Duration,
-        long: time::Duration,
+        min_duration: time::Duration,
     ) -> Vec<id::AgentId> {
-        self.subset.agents_missing_for(now, long)
+        self.subset.agents_missing_for(now, min_duration)
     }
 
     /// Counts the listed agents, linked to or not.
--- a/src/decide/besteffort/crashes.rs
+++ b/src/decide/besteffort/crashes.rs
@@ -112,7 +112,8 @@
         causes.map(|(task, _)| *task).min()
     }
 
-    /// Returns the agents whose crashed backend servers had a task that is still suspected, for the log.
+    /// Returns the agents whose backend servers crashed while they had this task, unless it was cleared of
+    /// the crash, for the log.
     pub fn crashed_agents(&self, job: &str, task: id::TaskIndex) -> Vec<&str> {
         let is_this_task = |name: &TaskName| name.job == job && name.task == task;
         let crashes = self.known.iter();
--- a/src/decide/besteffort/earlier_wait.rs
+++ b/src/decide/besteffort/earlier_wait.rs
@@ -10,7 +10,7 @@
 
 use compact_str::CompactString;
 
-/// Weight of one job in the share of short waits.
+/// Weight of the latest job in the moving average of the share of short waits.
 const GAIN: f64 = 0.01;
 
 /// Share of short waits in a class from which they indicate nothing.
@@ -24,18 +24,18 @@
 }
 
 impl EarlierWaits {
-    /// Returns how long the caller of a job has already waited, from the time by which its wait falls short
-    /// of the class's time.
+    /// Returns how long the caller of a job has presumably waited on earlier submissions. `shortfall` is by
+    /// how much the wait that it states is shorter than the class's time.
     pub fn earlier_wait(
         &mut self,
         class: &CompactString,
-        short_by: time::Duration,
+        shortfall: time::Duration,
     ) -> time::Duration {
         let share = self.short.entry(class.clone()).or_default();
-        let is_short = f64::from(u8::from(!short_by.is_zero()));
+        let is_short = f64::from(u8::from(!shortfall.is_zero()));
         *share += (is_short - *share) * GAIN;
         if *share < HABIT_SHARE {
-            short_by
+            shortfall
         } else {
             time::Duration::ZERO
         }
--- a/src/decide/besteffort/learn.rs
+++ b/src/decide/besteffort/learn.rs
@@ -83,8 +83,8 @@
         *agent_log += gain * (ratio - *agent_log);
     }
 
-    /// Recomputes the median of the agents, and moves each agent a little towards it. The move per call is
-    /// chosen for fifty calls a second.
+    /// Recomputes the median of the agents, and moves each agent a little towards it. The policy's
+    /// `deviation_kept` assumes fifty calls a second.
     pub fn update_median(&mut self) {
         let mut all: Vec<f64> = self.agents.values().copied().collect();
         all.sort_unstable_by(f64::total_cmp);
--- a/src/decide/besteffort/lease.rs
+++ b/src/decide/besteffort/lease.rs
@@ -147,11 +147,11 @@
         self.granted_until > now + self.bounds.lease
     }
 
-    /// Records the backend server's clock from an answer to an order that was sent at `sent`.
-    pub fn record_answer(&mut self, sent: time::Duration, now: time::Duration, clock_ms: u64) {
+    /// Records the backend server's clock from an answer to an order that was sent at `sent_at`.
+    pub fn record_answer(&mut self, sent_at: time::Duration, now: time::Duration, clock_ms: u64) {
         let offset = clock_ms as i64 - now.as_millis() as i64;
         self.offset = Some(offset);
-        self.confirmed_at = self.confirmed_at.max(sent);
+        self.confirmed_at = self.confirmed_at.max(sent_at);
         self.answered_at = now;
     }
 
@@ -183,8 +183,8 @@
         Some(now.saturating_sub(self.answered_at))
     }
 
-    /// Whether the last answered renewal is older than `after`, so that the agent
-    /// makes a call only to renew the lease.
+    /// Whether the last answered order was sent longer than `after` ago, so that the agent makes a call only to
+    /// renew the lease.
     pub fn is_renewal_overdue(&self, now: time::Duration, after: time::Duration) -> bool {
         now > self.confirmed_at + after
     }
--- a/src/decide/besteffort/subset.rs
+++ b/src/decide/besteffort/subset.rs
@@ -54,6 +54,7 @@
     Unwanted,
     /// A link was asked for, and has neither come up nor failed.
     Opening,
+    /// The link is up.
     Up,
     /// A link is wanted, and there has been none since this time.
     Missing(time::Duration),
@@ -63,8 +64,8 @@
 struct KnownAgent {
     listed: ListedAgent,
     state: State,
-    /// When an extra link to the agent was last used; none for agents of the base, and where no link is
-    /// wanted.
+    /// When an extra link to the agent was last used; none for agents of the base, and after an unused
+    /// link was closed.
     extra_used_at: Option<time::Duration>,
 }
 
@@ -79,6 +80,7 @@
     order: Vec<id::AgentId>,
     /// Whether agents were added, removed or moved to another failure domain since `order` was computed.
     is_order_stale: bool,
+    /// See [`Subset::reach_factor`].
     reach_factor: f64,
 }
 
@@ -154,14 +156,14 @@
         known.is_none_or(|known| known.state != State::Unwanted)
     }
 
-    /// Returns the agents whose wanted links have been missing for longer than `long`.
+    /// Returns the agents whose wanted links have been missing for longer than `min_duration`.
     pub fn agents_missing_for(
         &self,
         now: time::Duration,
-        long: time::Duration,
+        min_duration: time::Duration,
     ) -> Vec<id::AgentId> {
         let missing = self.known.iter().filter(
-            |(_, known)| matches!(known.state, State::Missing(since) if now.saturating_sub(since) > long),
+            |(_, known)| matches!(known.state, State::Missing(since) if now.saturating_sub(since) > min_duration),
         );
         missing.map(|(name, _)| name.clone()).collect()
     }
--- a/tests/besteffort_load/world.rs
+++ b/tests/besteffort_load/world.rs
@@ -173,8 +173,8 @@
                 if load.links == Links::Mesh {
                     world.connect(e, a);
                 } else {
-                    let member = world.member(a);
-                    world.entries[e].board.list_agent(member);
+                    let listed = world.listed_agent(a);
+                    world.entries[e].board.list_agent(listed);
                 }
             }
             let phase = world.rng.random_range(0..TICK);
@@ -195,7 +195,7 @@
         format!("domain-{}", n % self.load.domains).into()
     }
 
-    fn member(&self, a: usize) -> ListedAgent {
+    fn listed_agent(&self, a: usize) -> ListedAgent {
         let backend = backend(a, 0, &self.load);
         ListedAgent {
             agent: format!("agent-{a}").into(),
--- a/tests/besteffort_subset.rs
+++ b/tests/besteffort_subset.rs
@@ -27,7 +27,7 @@
 
 /// Returns the listing of agent `n`: agents are spread over five failure domains in turn, and eight share a
 /// rack.
-fn member(n: usize) -> ListedAgent {
+fn listed_agent(n: usize) -> ListedAgent {
     ListedAgent {
         agent: format!("agent-{n}").into(),
         addr: SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8], 7720)),
@@ -52,7 +52,7 @@
     let policy = Policy::default().subset;
     let mut subset = Subset::open(&format!("entry-{entry}"), &domain, policy);
     for n in 0..agents {
-        assert_eq!(subset.list_agent(member(n)), None);
+        assert_eq!(subset.list_agent(listed_agent(n)), None);
     }
     let opened = opened(&subset.review_links(ms(START), |_| false));
     for agent in &opened {
@@ -207,7 +207,7 @@
     fn open() -> LinkedBoard {
         let mut board = Board::open("entry-3", "domain-3", Bounds::default(), Policy::default());
         for n in 0..800 {
-            board.list_agent(member(n));
+            board.list_agent(listed_agent(n));
         }
         board.tick(ms(START - 50));
         let mut linked = LinkedBoard {
@@ -244,11 +244,11 @@
 
     fn connect(&mut self, at: u64, agent: &str, places: i64) {
         let number = agent.strip_prefix("agent-").and_then(|n| n.parse().ok());
-        let member = member(number.expect("a number"));
+        let listed = listed_agent(number.expect("a number"));
         let hello = Hello {
             agent: agent.into(),
             incarnation: 1,
-            failure_domain: member.failure_domain,
+            failure_domain: listed.failure_domain,
             runs: Vec::new(),
             ended: Vec::new(),
         };
@@ -261,9 +261,9 @@
             competing_entries: 1,
             backend: Some(Backend {
                 incarnation: ServerIncarnation::with_id(agent),
-                service: member.service,
-                labels: member.labels,
-                size: member.size,
+                service: listed.service,
+                labels: listed.labels,
+                size: listed.size,
                 takes_work: true,
             }),
             ..AgentMessage::default()
@@ -313,7 +313,7 @@
     let mut large = submission("large", 1);
     large.need.cpu = 9_000;
     for submission in [labelled, large] {
-        // Later than just after the entry's start, when it refuses nothing for lack of agents.
+        // By now the entry has found its agents; before, it refuses nothing for lack of them.
         let admitted = linked.board.submit(ms(START + 200), submission);
         let refused = SubmitResult::Answered(Outcome::NotRun(NotRunReason::NoFit, ms(1_000)));
         assert_eq!(admitted, refused);
--- a/tests/decide_learning.rs
+++ b/tests/decide_learning.rs
@@ -42,7 +42,7 @@
     assert!((280..320).contains(&estimate.as_millis()), "{estimate:?}");
 }
 
-/// Guards against an estimate of zero, or none, for a kind of task that hasn't run yet: the declared run time
+/// Guards against an estimate of zero for a kind of task that hasn't run yet: the declared run time
 /// is the estimate, and without a declaration a default is.
 #[test]
 fn declared_value_is_the_prior() {
