--- a/tests/besteffort_board.rs
+++ b/tests/besteffort_board.rs
@@ -581,7 +581,7 @@
     assert_eq!(left.linked, 1, "the other agent is still silent");
 }
 
-/// Guards against refusals after a restart of all machines, when a third of the callers were refused although
+/// Guards against refusals after a fault of all machines, when a third of the callers were refused although
 /// there was room. An entry that has just started knows one agent of eleven, and the others connect within
 /// 200 ms. It accepts work until then, and soon afterwards refuses by what it knows, even if no agent came.
 #[test]
