--- a/src/entry/agent_link.rs
+++ b/src/entry/agent_link.rs
@@ -20,7 +20,7 @@
     /// The sending half, once the agent's welcome has come.
     pub tx: Option<link::Sender<Order>>,
     /// The connection that is open or being made.
-    pub sender: Option<Arc<LinkSender>>,
+    pub connection: Option<Arc<Connection>>,
     /// Acknowledgements that wait to be sent together with an order.
     pub delayed_acks: Vec<Order>,
     /// When the oldest of the delayed acknowledgements was added.
@@ -38,7 +38,7 @@
         AgentLink {
             row,
             tx: None,
-            sender: None,
+            connection: None,
             delayed_acks: Vec::new(),
             oldest_ack_at: now,
             last_heard: now,
@@ -48,23 +48,26 @@
 
     /// Tells whether messages that were sent on the link don't arrive, even if the agent is heard.
     pub fn is_stuck(&self, now: time::Instant) -> bool {
-        let sender = self.sender.as_ref();
-        sender.is_some_and(|sender| sender.delivery().is_stuck(now, agent::SILENCE))
+        let connection = self.connection.as_ref();
+        connection.is_some_and(|connection| connection.delivery().is_stuck(now, agent::SILENCE))
     }
 
     /// Drops the sending half, used or not, so that the link closes and is replaced. Tells whether
     /// there was one.
     ///
-    /// Until the agent's welcome comes, the [`LinkSender`] holds the sending half. If the welcome
+    /// Until the agent's welcome comes, the [`Connection`] holds the sending half. If the welcome
     /// is lost and that half were kept, the link would stay open and unused for ever.
     pub fn close(&mut self) -> bool {
-        let unused = self.sender.take().and_then(|sender| sender.take_tx());
+        let unused = self
+            .connection
+            .take()
+            .and_then(|connection| connection.take_tx());
         self.tx.take().or(unused).is_some()
     }
 }
 
 /// The owner's side of one connection; holds the sending half until the agent's welcome comes.
-pub struct LinkSender {
+pub struct Connection {
     /// The number that the owner gave to the connection.
     pub link: id::Link,
     unused_tx: Mutex<Option<link::Sender<Order>>>,
@@ -73,10 +76,10 @@
     delivery: Mutex<delivery::Delivery>,
 }
 
-impl LinkSender {
+impl Connection {
     /// Opens the owner's side of a new connection, under a random number.
-    pub fn open(tx: link::Sender<Order>) -> LinkSender {
-        LinkSender {
+    pub fn open(tx: link::Sender<Order>) -> Connection {
+        Connection {
             // Numbers in the JSON of other languages hold only 53 bits.
             link: rand::random::<u64>() >> 11,
             unused_tx: Mutex::new(Some(tx)),
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -15,7 +15,7 @@
 use crate::decide::notice;
 use crate::decide::order::Order;
 use crate::decide::owner;
-use crate::entry::agent_link::{AgentLink, LinkSender};
+use crate::entry::agent_link::{AgentLink, Connection};
 use crate::entry::scope::Scope;
 use crate::entry::spans;
 use crate::id;
@@ -302,20 +302,22 @@
         }
     }
 
-    /// Handles one message of an agent that came on the link of `tx`.
-    pub fn handle_message(&self, id: &id::AgentId, tx: &LinkSender, up: agent::Up) {
+    /// Handles one message of an agent that came on the connection given.
+    pub fn handle_message(&self, id: &id::AgentId, connection: &Connection, up: agent::Up) {
         if let Some(link) = self.links.lock().expect("not poisoned").get_mut(id) {
             link.last_heard = time::Instant::now();
         }
-        if up.link == tx.link {
-            tx.delivery().confirm(up.received);
+        if up.link == connection.link {
+            connection.delivery().confirm(up.received);
         }
         let mut load = Some(up.load);
         for notice in up.notices {
             match notice {
                 notice::Notice::Welcome(welcome) => {
-                    tx.incarnation.store(welcome.incarnation, Ordering::SeqCst);
-                    self.activate_link(id, tx);
+                    connection
+                        .incarnation
+                        .store(welcome.incarnation, Ordering::SeqCst);
+                    self.activate_link(id, connection);
                     let load = load.take().unwrap_or_default();
                     self.apply_event(|owner, now| owner.handle_welcome(now, id, welcome, load));
                 }
@@ -340,10 +342,10 @@
     }
 
     /// Notes a connection to an agent that is being made; the agent counts as heard now.
-    pub fn note_connecting(&self, id: &id::AgentId, sender: Arc<LinkSender>) {
+    pub fn note_connecting(&self, id: &id::AgentId, connection: Arc<Connection>) {
         if let Some(link) = self.links.lock().expect("not poisoned").get_mut(id) {
             link.last_heard = time::Instant::now();
-            link.sender = Some(sender);
+            link.connection = Some(connection);
         }
     }
 
@@ -352,10 +354,10 @@
         &self.scope
     }
 
-    fn activate_link(&self, id: &id::AgentId, tx: &LinkSender) {
+    fn activate_link(&self, id: &id::AgentId, connection: &Connection) {
         let mut links = self.links.lock().expect("not poisoned");
         if let Some(link) = links.get_mut(id) {
-            link.tx = tx.take_tx();
+            link.tx = connection.take_tx();
         }
     }
 
--- a/src/entry/linking.rs
+++ b/src/entry/linking.rs
@@ -9,7 +9,7 @@
 
 use crate::backoff;
 use crate::decide::order::Order;
-use crate::entry::agent_link::LinkSender;
+use crate::entry::agent_link::Connection;
 use crate::entry::cell::Cell;
 use crate::entry::scope::Scope;
 use crate::id;
@@ -51,16 +51,16 @@
 ) -> anyhow::Result<()> {
     let strong = cell.upgrade().ok_or_else(|| anyhow!("the cell is gone"))?;
     let (tx, rx) = mpsc::unbounded_channel();
-    let sender = Arc::new(LinkSender::open(tx));
+    let connection = Arc::new(Connection::open(tx));
     let hello = agent::Hello {
         entry: strong.scope().entry.clone(),
         cell: strong.scope().cell,
         epoch: strong.scope().epoch,
-        link: sender.link,
+        link: connection.link,
     };
     let peer = link::ClientHandlers {
-        on_message: message_handler(cell.clone(), id.clone(), sender.clone()),
-        group: order_grouper(strong.scope(), sender.clone()),
+        on_message: message_handler(cell.clone(), id.clone(), connection.clone()),
+        group: order_grouper(strong.scope(), connection.clone()),
         on_sent: {
             let messages = strong.scope().messages.clone();
             Arc::new(move |down, bytes| messages.sent(agent::kind_down(&down.orders), bytes))
@@ -71,30 +71,34 @@
             Box::new(move || closed.notify_one())
         },
     };
-    strong.note_connecting(id, sender);
+    strong.note_connecting(id, connection);
     drop(strong);
     link::connect(&row.addr, hello, rx, peer).await
 }
 
 type MessageHandler = Arc<dyn Fn(agent::Up) + Send + Sync>;
 
-fn message_handler(cell: Weak<Cell>, id: id::AgentId, sender: Arc<LinkSender>) -> MessageHandler {
+fn message_handler(
+    cell: Weak<Cell>,
+    id: id::AgentId,
+    connection: Arc<Connection>,
+) -> MessageHandler {
     Arc::new(move |up| {
         if let Some(cell) = cell.upgrade() {
-            cell.handle_message(&id, &sender, up);
+            cell.handle_message(&id, &connection, up);
         }
     })
 }
 
-fn order_grouper(scope: &Scope, sender: Arc<LinkSender>) -> link::Group<Order, agent::Down> {
+fn order_grouper(scope: &Scope, connection: Arc<Connection>) -> link::Group<Order, agent::Down> {
     let (cell, epoch) = (scope.cell, scope.epoch);
     Arc::new(move |orders| {
-        sender.delivery().record_sent(time::Instant::now());
+        connection.delivery().record_sent(time::Instant::now());
         agent::Down {
-            link: sender.link,
+            link: connection.link,
             cell,
             epoch,
-            incarnation: sender.incarnation.load(Ordering::SeqCst),
+            incarnation: connection.incarnation.load(Ordering::SeqCst),
             orders,
         }
     })
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -86,7 +86,7 @@
 
 /// Makes the status for `GET /v1/status`.
 pub fn status(core: &Core) -> Status {
-    let places = core.cell_owners().into_iter().enumerate();
+    let cell_owners = core.cell_owners().into_iter().enumerate();
     let versions = core.peers.versions();
     Status {
         entry: core.cfg.id.clone(),
@@ -95,7 +95,7 @@
         other_versions: versions,
         draining: core.is_draining(),
         in_flight: core.in_flight(),
-        cells: places
+        cells: cell_owners
             .map(|(cell, owner)| cell_status(core, cell as id::Cell, &owner))
             .collect(),
         messages: messages_by_kind(core),
--- a/tests/processes/traces.rs
+++ b/tests/processes/traces.rs
@@ -32,7 +32,7 @@
 
 type Spans = Arc<Mutex<Vec<Span>>>;
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -53,7 +53,7 @@
             Reply::bytes(StatusCode::OK, mime::APPLICATION_OCTET_STREAM, "")
         }
     };
-    server::bind(any(), handler).await.expect("it binds")
+    server::bind(any_port(), handler).await.expect("it binds")
 }
 
 /// Opens a backend server that records the `traceparent` of each run.
@@ -70,7 +70,7 @@
             Reply::json(StatusCode::OK, &"done")
         }
     };
-    server::bind(any(), handler).await.expect("it binds")
+    server::bind(any_port(), handler).await.expect("it binds")
 }
 
 /// Announces a backend server with one slot each second until the test ends.
