--- a/src/entry/agent_link.rs
+++ b/src/entry/agent_link.rs
@@ -55,8 +55,9 @@
     /// Drops the sending half, used or not, so that the link closes and is replaced. Tells whether
     /// there was one.
     ///
-    /// Until the agent's welcome comes, the [`Connection`] holds the sending half. If the welcome
-    /// is lost and that half were kept, the link would stay open and unused for ever.
+    /// Until the agent's welcome comes, the [`Connection`] holds the sending half. That half is
+    /// dropped too: if it stayed after the welcome was lost, the link would be open and unused for
+    /// ever.
     pub fn close(&mut self) -> bool {
         let unused = self
             .connection
--- a/src/entry/cell.rs
+++ b/src/entry/cell.rs
@@ -58,6 +58,7 @@
     let now = time::Instant::now();
     let wall = clock::since_epoch();
     let mut owner = owner::Owner::open(scope.epoch, scope.policy, scope.config.clone(), now, wall);
+    // The owner takes the end of this time as wall-clock time; it may lie ahead of now or behind.
     let ahead = scope.unclaimed_starts_until.saturating_duration_since(now);
     let behind = now.saturating_duration_since(scope.unclaimed_starts_until);
     owner.set_takeover(scope.proof_begun, (wall + ahead).saturating_sub(behind));
@@ -114,8 +115,8 @@
         self.apply_event(|owner, _| owner.note_ownership_proof(begun));
     }
 
-    /// Notes the revision of the row that each join and leave of an agent changes; a new one has
-    /// the members read again.
+    /// Notes the revision of the row that each join and leave of an agent changes; if it is new,
+    /// the membership task is notified to read the members again.
     pub fn note_members_revision(&self, revision: platform::Revision) {
         let mut known = self.members_revision.lock().expect("not poisoned");
         if known.replace(revision) != Some(revision) {
@@ -257,9 +258,11 @@
         }
     }
 
-    /// Sends an order, or delays an acknowledgement until the next order. An order to an agent
-    /// without a link is dropped: its task counts as outstanding, and the owner asks the agent
-    /// about it on the next link.
+    /// Sends an order with the acknowledgements delayed before it. An acknowledgement is delayed
+    /// until the next order, or until [`Cell::check_links`] sends it after [`MAX_ACK_DELAY`].
+    ///
+    /// An order to an agent without a link is dropped: its task counts as outstanding, and the
+    /// owner asks the agent about it on the next link.
     fn send_order(&self, agent: &id::AgentId, order: Order) {
         let mut links = self.links.lock().expect("not poisoned");
         let Some(link) = links.get_mut(agent) else {
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -80,6 +80,7 @@
         Arc::new_cyclic(|core| {
             let candidate = ownership::Candidate {
                 entry: cfg.id.clone(),
+                // Numbers in the JSON of other languages hold only 53 bits.
                 incarnation: rand::random::<u64>() >> 11,
                 addr: peer_addr,
             };
@@ -120,7 +121,7 @@
             .collect()
     }
 
-    /// Tells whether this entry owns a cell.
+    /// Tells whether this entry owns at least one cell.
     pub fn owns_any(&self) -> bool {
         self.cell_owners()
             .iter()
@@ -141,7 +142,8 @@
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Tells whether submissions would be taken now.
+    /// Tells whether the entry takes submissions now: it isn't draining, has a configuration and
+    /// knows the owner of at least one cell.
     pub fn is_ready(&self) -> bool {
         let is_known = |owner: &CellOwner| !matches!(owner, CellOwner::Unknown);
         !self.is_draining()
@@ -190,8 +192,8 @@
             if let Some(ending) = ending {
                 return ending;
             }
-            // After a job was with an owner for a while, the search for the next owner gets the
-            // full time again.
+            // An attempt that took longer than the pause counts as one that had an owner, so the
+            // search for the next owner gets the full time again.
             let now = time::Instant::now();
             if tried_at.elapsed() > OWNER_RETRY_PAUSE {
                 searching_since = Some(now);
@@ -306,7 +308,8 @@
         }
     }
 
-    /// Stops gracefully: hands the cells over if another entry takes them, and answers all callers.
+    /// Refuses new submissions, hands the cells over if another entry takes them, and waits up to
+    /// [`Config::drain`] until the submissions in flight are answered.
     pub async fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
         self.ownership.resign().await;
@@ -316,7 +319,8 @@
             let _ = tokio::time::timeout(OWNER_RETRY_PAUSE, self.owners_changed.notified()).await;
         }
         if self.owns_any() {
-            // No other entry took the cells, so the submissions in flight end here.
+            // No other entry took the cells, so this one serves the submissions in flight to their
+            // end.
             self.ownership.resume_taking();
         }
         let idle = async {
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -1,5 +1,5 @@
-//! How an entry handles the events of its controllers, and news of the watched rows from other
-//! entries.
+//! How an entry handles the events of its controllers, and exchanges digests of the watched rows
+//! with other entries.
 
 use std::sync::{Arc, Weak};
 use std::time;
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -146,8 +146,8 @@
 /// The time at which a key was minted, in milliseconds since the Unix epoch, unless the key holds
 /// no time or one that is ahead of this process's clock by more than [`inherit::CLOCK_SKEW`].
 ///
-/// If a takeover comes between the first and the second submission of a key from the future, the
-/// key would count as new at the second, so its time is ignored.
+/// A time in the future is ignored because the key would count as new when it is submitted again
+/// after a takeover.
 fn minted_ms(key: &str) -> Option<u64> {
     let minted = key::minted_at(key)?;
     let latest = clock::since_epoch() + inherit::CLOCK_SKEW;
--- a/src/entry/inward.rs
+++ b/src/entry/inward.rs
@@ -12,8 +12,8 @@
 use crate::wire::link;
 use crate::wire::peer::{self, DownItem, UpItem};
 
-/// The core that answers other entries, once it is set; clones share it. It lets the listener be
-/// bound before the core is opened.
+/// A reference to the core that answers other entries; clones share it. It is empty until the core
+/// is opened, since the listener for other entries is bound before.
 #[derive(Clone, Default)]
 pub struct CoreRef(Arc<OnceLock<Weak<Core>>>);
 
--- a/src/entry/inward_links.rs
+++ b/src/entry/inward_links.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Notes that a message is being sent now; returns how many messages were received.
+    /// Notes that a message is being sent now; returns how many messages have come on this link,
+    /// for the message to confirm.
     pub fn record_sent(&self) -> u64 {
         *self.last_sent.lock().expect("not poisoned") = time::Instant::now();
         self.received.load(Ordering::SeqCst)
@@ -102,8 +103,8 @@
             links.remove(&entry, link);
             return;
         }
-        // The heartbeat counts as sent only when the writer gets to it; none other is due until
-        // then.
+        // The heartbeat counts as sent only when the writer sends it. Without this pause the loop
+        // would queue more heartbeats until then.
         tokio::time::sleep(HEARTBEAT / 4).await;
     }
 }
--- a/src/entry/linking.rs
+++ b/src/entry/linking.rs
@@ -21,8 +21,8 @@
 const MIN_PAUSE: time::Duration = time::Duration::from_millis(20);
 const MAX_PAUSE: time::Duration = time::Duration::from_millis(500);
 
-/// Maintains the link to one agent until the cell is gone; the cell aborts it when the agent's row
-/// changes or is removed.
+/// Maintains the link to one agent until the cell is gone; the cell aborts this task when the
+/// agent's row changes or is removed.
 pub async fn maintain_link(cell: Weak<Cell>, id: id::AgentId, row: rows::Agent) {
     let mut backoff = backoff::open(MIN_PAUSE, MAX_PAUSE);
     loop {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -122,12 +122,13 @@
         &self.core.cfg.id
     }
 
-    /// Tells whether this entry owns a cell.
+    /// Tells whether this entry owns at least one cell.
     pub fn owns_any(&self) -> bool {
         self.core.owns_any()
     }
 
-    /// Tells whether submissions would be taken now.
+    /// Tells whether the entry takes submissions now: it isn't draining, has a configuration and
+    /// knows the owner of at least one cell.
     pub fn is_ready(&self) -> bool {
         self.core.is_ready()
     }
--- a/src/entry/offload.rs
+++ b/src/entry/offload.rs
@@ -9,7 +9,7 @@
 use crate::wire::objects;
 use crate::wire::platform;
 
-/// Most bytes of answers that one reply carries; answers over this are refused whole.
+/// Most bytes that the answers in one reply have together; a reply with more is refused whole.
 pub const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Stores the large inputs of a submission and replaces each by a reference to its object. Returns
--- a/src/entry/operate.rs
+++ b/src/entry/operate.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The version that the change was made from.
+    /// The version of the configuration that the new document was edited from.
     pub base: id::Version,
     /// The new document, which replaces the whole old one.
     pub document: class::Document,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -16,14 +16,16 @@
 use crate::wire::link;
 use crate::wire::peer::{self, DownItem, UpItem, SILENCE, SUSPECT_AFTER};
 
-/// The links to the owners of other cells, by address, and the other entries' versions.
+/// The links to the owners of other cells, by address, and the configuration versions of the other
+/// entries.
 pub struct Peers {
     links: Mutex<HashMap<CompactString, Arc<PeerLink>>>,
     versions: Mutex<BTreeMap<id::EntryId, id::Version>>,
     inward: InwardLinks,
 }
 
-/// The link to one owner, over all its connections, and the submissions that wait on it.
+/// The link to one owner, over all its connections, and the submissions and cancellations that wait
+/// for its replies.
 pub struct PeerLink {
     tx: Mutex<Option<link::Sender<DownItem>>>,
     pending_replies: Mutex<HashMap<u64, oneshot::Sender<Arc<Ending>>>>,
@@ -180,8 +182,8 @@
     }
 }
 
-/// Removes a sequence number from the pending replies when it is dropped, also if the caller gave
-/// up.
+/// A wait for a reply. Dropping it, also when the caller has given up, removes its sequence number
+/// from the pending replies.
 struct PendingReply<'a> {
     link: &'a PeerLink,
     seq: u64,
--- a/src/entry/scope.rs
+++ b/src/entry/scope.rs
@@ -17,7 +17,7 @@
     pub epoch: id::Epoch,
     /// The revision of the cell's row that holds this epoch.
     pub revision: platform::Revision,
-    /// When the table operation began that proved the ownership.
+    /// The time at which the table operation that proved the ownership began.
     pub proof_begun: time::Instant,
     /// The end of the time in which the previous owner may have started tasks before it wrote their
     /// claims.
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -49,7 +49,8 @@
 /// The details of a cell that only its owner knows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct OwnedStatus {
-    /// Whether the takeover is over.
+    /// Whether the takeover is over, so that the owner handles submissions at once instead of
+    /// deferring them.
     pub ready: bool,
     /// The number of jobs that have not ended.
     pub open_jobs: usize,
--- a/src/filter/configured.rs
+++ b/src/filter/configured.rs
@@ -6,7 +6,8 @@
 use crate::filter::{Context, Draft};
 use crate::refusal::Refusal;
 
-/// The entry reads the first configuration soon after the table answers.
+/// Pause before a refused caller tries again. The entry reads the first configuration soon after
+/// the table answers.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
 /// Passes a draft if a configuration is in force, and refuses others with `NoConfiguration`.
--- a/src/filter/draining.rs
+++ b/src/filter/draining.rs
@@ -6,7 +6,7 @@
 use crate::filter::{Context, Draft};
 use crate::refusal::Refusal;
 
-/// Short, since the caller can try another entry at once.
+/// Pause before a refused caller tries again; short, since it can try another entry at once.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(10);
 
 /// Passes a draft, or refuses it with `Draining` while the entry drains.
--- a/src/filter/key.rs
+++ b/src/filter/key.rs
@@ -1,5 +1,5 @@
-//! Checks the submission key. An idempotent request may come without one; the entry mints one after
-//! the chain.
+//! Checks the form of the submission key. A request may come without one; the parse filter then
+//! refuses it unless it is idempotent, and the entry mints a key after the chain.
 
 use crate::code;
 use crate::filter::{Context, Draft, Kind};
--- a/src/filter/mod.rs
+++ b/src/filter/mod.rs
@@ -1,7 +1,7 @@
 //! The filter chain that every submission passes at the entry that receives it.
 //!
 //! A filter checks or completes the draft, or refuses it with nothing run. The chain runs before
-//! anything is claimed, so that bad input costs only one process and loses nothing.
+//! anything is claimed, so that bad input takes time of this process only and no work is lost.
 
 pub mod class;
 pub mod configured;
--- a/src/filter/parse.rs
+++ b/src/filter/parse.rs
@@ -7,8 +7,8 @@
 use crate::submission;
 use crate::wire::caller;
 
-/// Sets the draft's job from its body. Refuses a body that can't be read, a client account that isn't
-/// a name, and a request that has no key and isn't idempotent.
+/// Sets the draft's job from its body. Refuses a body that can't be read, a client account that
+/// isn't a name, and a request that has no key and isn't idempotent.
 pub fn filter(_cx: &Context, mut draft: Draft) -> Result<Draft, Refusal> {
     let (job, idempotent) = match draft.kind {
         // The tasks of a job are idempotent by contract; a task that must run only once is sent as
--- a/tests/contract_caller.rs
+++ b/tests/contract_caller.rs
@@ -27,13 +27,16 @@
     key: Option<String>,
     #[serde(default)]
     body: String,
+    /// How many times the body is repeated within the one request.
     #[serde(default = "once")]
     repeat: usize,
     /// The body of a submission under the same key that is sent first and completes.
     first: Option<String>,
     #[serde(default)]
     manner: Manner,
+    /// The expected status; without one, no answer is expected.
     status: Option<u16>,
+    /// The expected code of the refusal; without one, the body of the answer isn't checked.
     code: Option<String>,
     #[serde(default)]
     not_run: bool,
--- a/tests/contract_silence.rs
+++ b/tests/contract_silence.rs
@@ -101,6 +101,7 @@
                 tokio::spawn(send_heartbeats(tx.clone(), || Notice::Heartbeat));
             }
             *greet_fake.current_tx.lock().unwrap() = Some(tx);
+            // `u64::MAX` confirms all messages that were sent so far, and 0 none.
             let received = if number > 1 { u64::MAX } else { 0 };
             Arc::new(move |notices| agent::Up {
                 notices,
@@ -213,6 +214,7 @@
                 Arc::new(move |items| peer::Up {
                     entry: "owner".into(),
                     link: hello.link,
+                    // `u64::MAX` confirms all messages that were sent so far, and 0 none.
                     received: if number > 1 { u64::MAX } else { 0 },
                     config: 1,
                     head: None,
--- a/tests/filters_table.rs
+++ b/tests/filters_table.rs
@@ -88,7 +88,7 @@
             Some(Code::BadJson),
         ),
         (
-            "endless run time",
+            "run time past the limit",
             job(r#"{"input":1,"run_ms":600001}"#),
             Some(Code::BadTask),
         ),
@@ -98,7 +98,7 @@
             Some(Code::BadTask),
         ),
         (
-            "needs past any worker",
+            "memory need past the limit",
             job(r#"{"input":1,"needs":{"memory_mb":16000001}}"#),
             Some(Code::BadTask),
         ),
@@ -114,7 +114,7 @@
         ),
         ("empty body", String::new(), Some(Code::BadJson)),
         (
-            "broken off",
+            "cut off in the middle",
             r#"{"customer":"harbour","#.into(),
             Some(Code::BadJson),
         ),
--- a/tests/processes/traces.rs
+++ b/tests/processes/traces.rs
@@ -1,4 +1,4 @@
-//! A trace over the whole path of separate processes: checks the spans that an OTLP receiver gets.
+//! A trace through a system of separate processes: checks the spans that an OTLP receiver gets.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/tests/support/path.rs
+++ b/tests/support/path.rs
@@ -1,4 +1,4 @@
-//! The whole path in one process over a platform in memory: one entry, one agent and one backend
+//! A whole system in one process over a platform in memory: one entry, one agent and one backend
 //! server.
 
 use std::net;
@@ -19,7 +19,7 @@
 
 use super::memory::MemoryPlatform;
 
-/// The running parts of the path.
+/// The running parts of the system.
 pub struct System {
     /// The entry, named `entry-0`, which owns the only cell.
     pub entry: entry::Entry,
@@ -125,7 +125,7 @@
         truth,
     });
     let ready = system.clone();
-    super::until("the path gets ready", move || {
+    super::until("the system gets ready", move || {
         ready.entry.is_ready() && ready.entry.usable_slots() == 4
     })
     .await;
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process, on loopback: callers, entries, agents and backend servers.
+//! The demo's workload on a whole system in one process, on loopback: callers, entries, agents and
+//! backend servers.
 
 use std::time;
 
