--- a/src/agent/join.rs
+++ b/src/agent/join.rs
@@ -1,5 +1,5 @@
 //! Joins an agent to its cell and takes it out again. To join, the agent writes its row before it
-//! reads the cell's epoch.
+//! reads the cell's epoch; `try_join` says why.
 
 use std::sync::Arc;
 use std::time;
@@ -69,8 +69,9 @@
     Ok(owner.epoch)
 }
 
-/// Writes the row of this incarnation, which lists the earlier ones that were lost. Does nothing if
-/// the row is already there.
+/// Writes the row of this incarnation, which lists the earlier incarnations that were lost, and the
+/// cell's members row, so that the owner reads the members again. Does nothing if this incarnation
+/// has already written its row.
 async fn write_row(
     cell: id::Cell,
     addr: &CompactString,
@@ -117,9 +118,9 @@
     }
 }
 
-/// Returns the lost incarnations that `before` lists and that are still recent, and the incarnation
-/// of `before` itself, lost now. `claimed` says whether the claims of all that it started were
-/// written.
+/// Returns the recent ones of the lost incarnations in the row `before`, followed by the incarnation
+/// that wrote this row, with the present time as the time of its loss. `claimed` says whether the
+/// claims of all tasks that it started were written.
 fn lost_incarnations(before: rows::Agent, claimed: bool) -> Vec<inherit::LostIncarnation> {
     let mut lost = retain_recent(before.lost);
     lost.push(inherit::LostIncarnation {
@@ -145,8 +146,10 @@
 /// This guards against an owner that takes the cell over after the agent has left. If a job is
 /// submitted again, that owner finds its claim but no agent with records of its tasks, and would
 /// start them a second time. From the row it learns that they may have run. `claimed` says whether
-/// the claims of all that this incarnation started were written before it left. Errors of the
-/// table are ignored.
+/// the claims of all tasks that this incarnation started were written before it left.
+///
+/// Does nothing if the row is missing or was written by another incarnation. Ignores errors of the
+/// table.
 pub async fn leave(cell: id::Cell, runner: &Runner, table: &platform::Table, claimed: bool) {
     let key = rows::agent(cell, runner.id());
     let Ok(Some(row)) = (table.get)(key.clone()).await else {
--- a/src/agent/large.rs
+++ b/src/agent/large.rs
@@ -58,10 +58,10 @@
             return task::Outcome::Done(value);
         }
         match objects::store(&self.store, "answer", &value).await {
-            Ok((name, stand_in)) => {
+            Ok((name, reference)) => {
                 let mut stored = self.stored.lock().expect("not poisoned");
                 stored.push_back((time::Instant::now(), name));
-                task::Outcome::Done(stand_in)
+                task::Outcome::Done(reference)
             }
             Err(_) => task::Outcome::Failed(code::Code::AnswerInStore),
         }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent: a process that runs beside a backend server, manages its slots and starts its tasks
-//! by order of the owner of its cell.
+//! The agent: a process that runs beside a backend server, manages its slots and sends it the tasks
+//! that the owner of the agent's cell orders it to start.
 
 mod announce;
 mod join;
@@ -43,7 +43,7 @@
     pub rack: CompactString,
     /// Number of cells in the whole system.
     pub cells: u16,
-    /// How long the agent waits for its answers to be acknowledged before it stops.
+    /// Longest time that a stopping agent waits for its answers to be acknowledged.
     pub linger: time::Duration,
 }
 
--- a/src/agent/runner.rs
+++ b/src/agent/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the tasks of an agent: obeys the orders of the owner, starts waiting tasks as slots become
+//! Runs the tasks of an agent: carries out the owner's orders, starts waiting tasks as slots become
 //! free, and sends the answers to the owner.
 
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -55,7 +55,7 @@
         Arc::new(Runner {
             large_values: large::LargeValues::open(objects),
             cfg,
-            // Only 53 bits are used: JSON numbers of other languages hold no more exactly.
+            // Many JSON parsers read numbers as doubles, which are exact only up to 53 bits.
             incarnation: incarnation >> 11,
             http: http::open(backend::MAX_ANSWER),
             messages,
@@ -104,8 +104,8 @@
         state.received = 0;
     }
 
-    /// Handles one message of an owner. Ignores orders to another incarnation, and refuses those of
-    /// a superseded owner.
+    /// Handles one message of an owner. Ignores orders to another incarnation. Carries out no order
+    /// of a superseded owner, but sends the newest epoch on the newest link.
     pub fn handle_message(self: &Arc<Self>, down: agent::Down) {
         let mut state = self.lock();
         let now = time::Instant::now();
@@ -272,8 +272,8 @@
         self.start_waiting(&mut state);
     }
 
-    /// Returns one message that holds the notices of one link, the current load, and how many of
-    /// the owner's messages were received if the link is the newest one.
+    /// Returns one message for `link`: the notices, the current load, and the number of the owner's
+    /// messages received on this link, which is 0 unless the link is the newest one.
     pub fn batch_notices(&self, link: id::Link, notices: Vec<Notice>) -> agent::Up {
         *self.last_sent.lock().expect("not poisoned") = time::Instant::now();
         let state = self.lock();
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Does the work that is due: sends a heartbeat if no message was sent for a while, refuses
-    /// waiting starts if there are no slots, and removes expired records and answers.
+    /// Sends a heartbeat if no message was sent for [`agent::HEARTBEAT`], refuses waiting starts if
+    /// there are no slots, and removes expired records and answers every [`SWEEP_INTERVAL`].
     pub fn tick(&self) {
         let mut state = self.lock();
         let now = time::Instant::now();
@@ -323,8 +323,9 @@
             .await;
     }
 
-    /// Waits until every answer was acknowledged, for `limit` at most. Returns whether all were, in
-    /// which case the claims of all of them are in the table.
+    /// Waits until the ledger keeps no answers, for `limit` at most, and returns whether it keeps
+    /// none. An owner acknowledges an answer once its claim is in the table. An answer that was
+    /// dropped because of [`ledger::MAX_KEPT_BYTES`] counts as acknowledged.
     pub async fn wait_until_acknowledged(&self, limit: time::Duration) -> bool {
         let done = self.wait_until(|state| state.ledger.kept_bytes() == 0);
         tokio::time::timeout(limit, done).await.is_ok()
@@ -367,11 +368,11 @@
         state.owner = None;
     }
 
-    /// Waits until `holds` returns true; checks it whenever `changed` is notified.
-    async fn wait_until(&self, holds: impl Fn(&State) -> bool) {
+    /// Waits until `condition` returns true; checks it whenever `changed` is notified.
+    async fn wait_until(&self, condition: impl Fn(&State) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if holds(&self.lock()) {
+            if condition(&self.lock()) {
                 return;
             }
             changed.await;
--- a/src/agent/spans.rs
+++ b/src/agent/spans.rs
@@ -1,5 +1,5 @@
-//! Records the spans of a task at its agent: the whole time there, the wait for a slot, and the run
-//! at the backend server.
+//! Records the spans of a task at its agent: the wait for a slot, the run at the backend server, and
+//! both together. A large input is fetched within the run's span; a large answer is stored after it.
 
 use std::time;
 
@@ -14,17 +14,19 @@
 /// The hops and times of one task, from which its spans are recorded once it has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Hops {
-    /// The whole time at the agent.
+    /// From the acceptance of the start to the backend server's answer.
     agent_hop: Hop,
-    /// The run at the backend server.
+    /// The fetch of a large input and the run at the backend server.
     run_hop: Hop,
+    /// When the start was accepted.
     received: time::Instant,
+    /// When the wait for a slot ended.
     sent: time::Instant,
 }
 
 impl Hops {
-    /// Returns the hops of a task whose start was accepted at `received` and that is sent to the
-    /// backend server now; nothing if its trace isn't recorded.
+    /// Returns the hops of a task whose start was accepted at `received` and that has got its slot
+    /// now; nothing if its trace isn't recorded.
     pub fn begin(start: &order::Start, received: time::Instant) -> Option<Hops> {
         let agent_hop = Hop::below(start.traceparent.as_deref())?;
         Some(Hops {
@@ -40,7 +42,7 @@
         self.run_hop.traceparent()
     }
 
-    /// Records the spans of a task that has ended now.
+    /// Records the spans of a task whose run at the backend server has ended now.
     pub fn record(self, agent: &id::AgentId, index: id::TaskIndex, outcome: &task::Outcome) {
         let ended = time::Instant::now();
         let failure = failure_code(outcome);
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -29,7 +29,8 @@
     pub running: HashMap<task::Id, Running>,
     /// Accepted starts that wait for a slot, the oldest first.
     pub waiting: VecDeque<Waiting>,
-    /// Sends notices to the owner of the cell; none while there is no link.
+    /// Sends notices on the owner's newest link; none before the first hello and after a failed
+    /// send.
     pub owner: Option<link::Sender<Notice>>,
     /// The number of the owner's newest link, from its hello; 0 before the first one.
     pub link: id::Link,
@@ -59,7 +60,7 @@
 
 /// A task that has a slot and has not ended.
 pub struct Running {
-    /// Aborts the exchange with the backend server.
+    /// Aborts the task's run, including its exchange with the backend server.
     pub abort: AbortHandle,
     /// When the task got its slot.
     pub since: time::Instant,
@@ -119,10 +120,10 @@
         }
     }
 
-    /// Reports to the owner the states of attempts of which it doesn't know whether they were
-    /// started, with their answers where these are kept.
-    pub fn resolve(&mut self, now: time::Instant, epoch: id::Epoch, ids: &[order::Attempt]) {
-        for (attempt, standing) in self.ledger.resolve(now, epoch, ids) {
+    /// Answers an owner that doesn't know whether its attempts were started: sends the kept answer
+    /// of each task, or its state if there is none. Starts that haven't arrived yet are withdrawn.
+    pub fn resolve(&mut self, now: time::Instant, epoch: id::Epoch, attempts: &[order::Attempt]) {
+        for (attempt, task_state) in self.ledger.resolve(now, epoch, attempts) {
             if let Some((outcome, ran_us)) = self.ledger.answer(&attempt.id) {
                 self.notify_owner(Notice::Answer(notice::Answer {
                     id: attempt.id,
@@ -130,13 +131,15 @@
                     ran_us,
                 }));
             } else {
-                self.notify_owner(Notice::Standing(attempt, standing));
+                self.notify_owner(Notice::Standing(attempt, task_state));
             }
         }
     }
 
-    /// Returns the number of tasks that may run at a time: 0 if the backend server is leaving, has
-    /// been silent for longer than [`MAX_BACKEND_SILENCE`] or has never announced itself.
+    /// Returns the number of tasks that may run at a time: the announced slots, but no more than the
+    /// announced connections. It is 0 if the agent has not joined its cell, or if the backend server
+    /// is leaving, has been silent for longer than [`MAX_BACKEND_SILENCE`] or has never announced
+    /// itself.
     pub fn slots(&self, now: time::Instant) -> u32 {
         // An agent that has not joined its cell must refuse every start, so it offers no slots.
         if !self.ledger.is_joined() {
