--- a/src/wire/backend.rs
+++ b/src/wire/backend.rs
@@ -1,8 +1,9 @@
 //! The HTTP interface between an agent and its backend server.
 //!
 //! A backend server announces itself to its agent (`POST /v1/announce`) every second, and again
-//! with `leaving` when it stops. The agent runs a task by `POST /run` with the input as the body
-//! and the headers named here; the whole answer is one JSON body.
+//! with `leaving` when it stops. The agent runs a task by `POST /run`, with the input as the body
+//! and the task's identity, client account and deadline in the headers defined here. The complete
+//! body of the answer is one JSON value.
 
 use bytes::Bytes;
 use compact_str::CompactString;
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -113,7 +113,7 @@
 /// Returns an error where the address can't be bound.
 pub async fn bind<Hello, Item, In, Out>(
     addr: net::SocketAddr,
-    service: ServerHandlers<Hello, Item, In, Out>,
+    handlers: ServerHandlers<Hello, Item, In, Out>,
 ) -> anyhow::Result<Server>
 where
     Hello: DeserializeOwned + Send + 'static,
@@ -129,7 +129,7 @@
         .enable_ws_ping(pings())
         .ws_only()
         .build();
-    let inbox = inbox(service.on_message.clone());
+    let inbox = inbox(handlers.on_message.clone());
     let layers = rpc::RpcServiceBuilder::new().layer_fn(move |inner| Inbox {
         inner,
         deliver: inbox.clone(),
@@ -140,7 +140,7 @@
         .build(addr)
         .await?;
     let addr = server.local_addr()?;
-    let module = module(service)?;
+    let module = module(handlers)?;
     let handle = server.start(module);
     Ok(Server { addr, handle })
 }
@@ -189,7 +189,7 @@
 }
 
 fn module<Hello, Item, In, Out>(
-    service: ServerHandlers<Hello, Item, In, Out>,
+    handlers: ServerHandlers<Hello, Item, In, Out>,
 ) -> anyhow::Result<RpcModule<()>>
 where
     Hello: DeserializeOwned + Send + 'static,
@@ -201,7 +201,7 @@
         on_sent,
         estimate_bytes,
         ..
-    } = service;
+    } = handlers;
     let mut module = RpcModule::new(());
     module.register_subscription("open", "up", "close", move |params, pending, _, _| {
         let on_open = on_open.clone();
@@ -331,7 +331,7 @@
     addr: &str,
     hello: Hello,
     rx: Receiver<Item>,
-    peer: ClientHandlers<Item, In, Out>,
+    handlers: ClientHandlers<Item, In, Out>,
 ) -> anyhow::Result<()>
 where
     Hello: Serialize + Send + 'static,
@@ -350,19 +350,19 @@
     let mut params = ArrayParams::new();
     params.insert(hello)?;
     let outbox = Outbox {
-        group: peer.group,
-        on_sent: peer.on_sent,
-        estimate_bytes: peer.estimate_bytes,
+        group: handlers.group,
+        on_sent: handlers.on_sent,
+        estimate_bytes: handlers.estimate_bytes,
         rx,
         waiting: VecDeque::new(),
     };
     let subscription: Subscription<In> = client.subscribe("open", params, "close").await?;
     tokio::spawn(async move {
         tokio::select! {
-            () = read(subscription, peer.on_message) => {}
+            () = read(subscription, handlers.on_message) => {}
             () = write_down(client, outbox) => {}
         }
-        (peer.on_closed)();
+        (handlers.on_closed)();
     });
     Ok(())
 }
