--- a/src/entry/inward.rs
+++ b/src/entry/inward.rs
@@ -36,13 +36,15 @@
     entry: id::EntryId,
     messages: count::Messages,
 ) -> link::ServerHandlers<peer::Hello, UpItem, peer::Down, peer::Up> {
-    let (greet_links, take_links) = (links.clone(), links.clone());
-    let (greet_core, take_core) = (core_ref.clone(), core_ref.clone());
+    let (on_open_links, on_message_links) = (links.clone(), links.clone());
+    let (on_open_core, on_message_core) = (core_ref.clone(), core_ref.clone());
     link::ServerHandlers {
-        on_open: Arc::new(move |hello, tx| greet(&greet_links, &greet_core, &entry, hello, tx)),
+        on_open: Arc::new(move |hello, tx| {
+            open_link(&on_open_links, &on_open_core, &entry, hello, tx)
+        }),
         on_message: Arc::new(move |down: peer::Down| {
-            let inward = take_links.count_received(&down.entry, down.link);
-            if let (Some(core), Some(inward)) = (take_core.core(), inward) {
+            let inward = on_message_links.count_received(&down.entry, down.link);
+            if let (Some(core), Some(inward)) = (on_message_core.core(), inward) {
                 handle_message(&core, &inward, down);
             }
         }),
@@ -51,7 +53,7 @@
     }
 }
 
-fn greet(
+fn open_link(
     links: &InwardLinks,
     core_ref: &CoreRef,
     entry: &id::EntryId,
--- a/tests/contract_silence.rs
+++ b/tests/contract_silence.rs
@@ -87,10 +87,10 @@
     fault: FirstLinkFault,
 ) -> (link::Server, Arc<FakeAgent>) {
     let fake: Arc<FakeAgent> = Arc::default();
-    let (greet_fake, take_fake) = (fake.clone(), fake.clone());
+    let (on_open_fake, on_message_fake) = (fake.clone(), fake.clone());
     let service = link::ServerHandlers {
         on_open: Arc::new(move |hello: agent::Hello, tx: link::Sender<Notice>| {
-            let number = greet_fake.links_opened.fetch_add(1, Ordering::SeqCst) + 1;
+            let number = on_open_fake.links_opened.fetch_add(1, Ordering::SeqCst) + 1;
             if number > 1 || fault == FirstLinkFault::NothingReceived {
                 let _ = tx.send(Notice::Welcome(notice::Welcome {
                     incarnation: 3,
@@ -100,7 +100,7 @@
                 }));
                 tokio::spawn(send_heartbeats(tx.clone(), || Notice::Heartbeat));
             }
-            *greet_fake.current_tx.lock().unwrap() = Some(tx);
+            *on_open_fake.current_tx.lock().unwrap() = Some(tx);
             // `u64::MAX` confirms all messages that were sent so far, and 0 none.
             let received = if number > 1 { u64::MAX } else { 0 };
             Arc::new(move |notices| agent::Up {
@@ -116,10 +116,10 @@
         on_sent: Arc::new(|_, _| {}),
         estimate_bytes: |_| 1,
         on_message: Arc::new(move |down: agent::Down| {
-            if take_fake.links_opened.load(Ordering::SeqCst) > 1 {
+            if on_message_fake.links_opened.load(Ordering::SeqCst) > 1 {
                 down.orders
                     .into_iter()
-                    .for_each(|order| take_fake.handle_order(order));
+                    .for_each(|order| on_message_fake.handle_order(order));
             }
         }),
     };
@@ -204,13 +204,14 @@
         let links: Arc<AtomicU64> = Arc::default();
         let passed: Arc<AtomicU64> = Arc::default();
         let current_tx: Arc<Mutex<Option<link::Sender<UpItem>>>> = Arc::default();
-        let (greet_tx, greet_links) = (current_tx.clone(), links.clone());
-        let (take_tx, take_links, take_passed) = (current_tx, links.clone(), passed.clone());
+        let (on_open_tx, on_open_links) = (current_tx.clone(), links.clone());
+        let (on_message_tx, on_message_links, on_message_passed) =
+            (current_tx, links.clone(), passed.clone());
         let service = link::ServerHandlers {
             on_open: Arc::new(move |hello: peer::Hello, tx: link::Sender<UpItem>| {
-                let number = greet_links.fetch_add(1, Ordering::SeqCst) + 1;
+                let number = on_open_links.fetch_add(1, Ordering::SeqCst) + 1;
                 tokio::spawn(send_heartbeats(tx.clone(), || UpItem::Heartbeat));
-                *greet_tx.lock().unwrap() = Some(tx);
+                *on_open_tx.lock().unwrap() = Some(tx);
                 Arc::new(move |items| peer::Up {
                     entry: "owner".into(),
                     link: hello.link,
@@ -228,10 +229,10 @@
                     let DownItem::Submit(seq, _) = item else {
                         continue;
                     };
-                    take_passed.fetch_add(1, Ordering::SeqCst);
-                    if take_links.load(Ordering::SeqCst) > 1 {
+                    on_message_passed.fetch_add(1, Ordering::SeqCst);
+                    if on_message_links.load(Ordering::SeqCst) > 1 {
                         let ending = Arc::new(submission::Ending::Complete(vec![number(7)]));
-                        let tx = take_tx.lock().unwrap().clone().unwrap();
+                        let tx = on_message_tx.lock().unwrap().clone().unwrap();
                         let _ = tx.send(UpItem::Ending(seq, ending));
                     }
                 }
